--- a/mintmast/lab/drills/frame.py
+++ b/mintmast/lab/drills/frame.py
@@ -77,7 +77,7 @@
         if drill.links:
             _look(stage, day)
         stage.run(day.whole_s)
-        stage.record("unsolicited", place="viewers", times=stage.client.unsolicited)
+        stage.record("unasked", place="viewers", times=stage.client.unsolicited)
         if keep is not None:
             lines = "".join(json.dumps(row) + "\n" for row in stage.rows)
             Path(keep, f"{name}-{net}-{seed}.jsonl").write_text(lines, encoding="utf-8")
