--- a/mintmast/decisions/calls/__init__.py
+++ b/mintmast/decisions/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's calls as the module's events."""
+"""Translation between the platform's requests and the controller's events and actions."""
--- a/mintmast/decisions/calls/calls.py
+++ b/mintmast/decisions/calls/calls.py
@@ -1,7 +1,9 @@
-"""Calls: what is seen of a set-up or session, as the module's events, and the messages owed for it.
+"""State machine of platform requests: turns observations into controller events and outgoing messages.
 
-One table of a call's stages. It translates evidence and chooses nothing: host, rung, another attempt,
-refusal, advice and move are the module's. Pure: time is handed in, commands are handed out. Times in µs.
+A call is one platform request with its eight-byte call reference (as in ITU-T Q.931), from its set-up to the
+end of its session. The transition table only translates evidence; the controller decides on host, rung,
+retries, refusal, retry advice and moves. Free of I/O: the caller passes the time in µs and carries out the
+commands that are returned.
 """
 
 from __future__ import annotations
@@ -18,25 +20,25 @@
 
 
 class Stage(Enum):
-    """Where a call stands."""
+    """State of a call. The values are keys of log lines."""
 
-    ASKED = "asked"  # the module has it and nothing is out
-    OUT = "out"  # its attempt is out
-    STANDING = "standing"  # answered; it plays
-    ENDING = "ending"  # nobody waits any more, its attempt is still out
+    ASKED = "asked"  # the controller has the request and no attempt is in progress
+    OUT = "out"  # an attempt is in progress
+    STANDING = "standing"  # answered; the session is playing
+    ENDING = "ending"  # the viewer no longer waits, and the attempt is still in progress
 
 
 class Seen(Enum):
-    """What is seen of a call."""
+    """Input event of a call's state machine."""
 
-    STARTED = "started"  # the host answered its attempt
-    ENDED = "ended"  # its attempt ended without an answer
-    LEFT = "left"  # its viewer gave it up, released it or is gone
-    OVER = "over"  # the session ended at its host, or with it
+    STARTED = "started"  # the host answered the attempt
+    ENDED = "ended"  # the attempt ended without an answer
+    LEFT = "left"  # the viewer cancelled the request, released the session or disconnected
+    OVER = "over"  # the session ended at its host, or its host died
 
 
 class Owed(Enum):
-    """A message that is owed."""
+    """A message that a transition sends."""
 
     ANSWER = "answer to the viewer"
     RELEASE = "release to the viewer"
@@ -44,7 +46,7 @@
 
 
 class Tell(Enum):
-    """The module's event."""
+    """The event that a transition passes to the controller."""
 
     PLAYING = "playing"
     GONE = "viewer gone"
@@ -54,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """A row of the table: where the call goes (None: forgotten), what the module hears, what is owed."""
+    """A row of the table: next state (None removes the call), controller event and messages to send."""
 
     to: Stage | None
     tell: Tell
     owed: tuple[Owed, ...] = ()
 
 
-# What is not in the table changes nothing: doubled, late and crossed messages.
+# Events without a row are ignored: they come from duplicate, late and crossing messages.
 TABLE: dict[tuple[Stage, Seen], Step] = {
     (Stage.OUT, Seen.STARTED): Step(Stage.STANDING, Tell.PLAYING, (Owed.ANSWER,)),
     (Stage.OUT, Seen.ENDED): Step(Stage.ASKED, Tell.END),
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Wish:
-    """A set-up as a viewer asks for it; `passed` goes on to hosts unread."""
+    """A viewer's parsed set-up. Hosts get the class, title and description in `passed` unchanged."""
 
     call: bytes
     service: int
@@ -93,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendSetUp:
-    """Ask `host` for the session; give it up at `until`. Its evidence comes back as `attempt`."""
+    """Send a set-up to `host`, with a timeout at `until`. `passed` is forwarded unchanged."""
 
     call: bytes
     host: bytes
@@ -105,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallOff:
-    """Give up the attempt that is out; no evidence of it is wanted."""
+    """Cancel the attempt in progress. No result of it is reported."""
 
     call: bytes
     host: bytes
@@ -113,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cut:
-    """End a session at its host."""
+    """Release a session at its host."""
 
     call: bytes
     host: bytes
@@ -121,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TellRung:
-    """Tell the host a new rung of a session that stands."""
+    """Send the host a new rung for a playing session."""
 
     call: bytes
     host: bytes
@@ -130,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """Tell the viewer that the session stands, with the host's description."""
+    """Answer the viewer: the session is established and the host described it so."""
 
     call: bytes
     viewer: int
@@ -139,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Tell the viewer that it may come again, after `retry_after`."""
+    """Refuse the viewer's request, with advice to retry after `retry_after` µs."""
 
     call: bytes
     viewer: int
@@ -148,7 +150,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Tell the viewer that the set-up failed."""
+    """Report to the viewer that the set-up failed."""
 
     call: bytes
     viewer: int
@@ -156,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Tell the viewer that the session is over; `whole` where it came to its end."""
+    """Release the session to the viewer; `whole` if it played to its end."""
 
     call: bytes
     viewer: int
@@ -165,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MoveAway:
-    """Tell the viewer to come again."""
+    """Ask the viewer to move: the session ends here and the viewer sets it up again."""
 
     call: bytes
     viewer: int
@@ -173,7 +175,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Wake:
-    """Call `woken` with `token` after `delay`."""
+    """Start a timer that fires with `token` after `delay` µs."""
 
     delay: int
     token: int
@@ -181,7 +183,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Say:
-    """A line for the operators."""
+    """Write a message of the controller to the log."""
 
     text: str
 
@@ -191,7 +193,10 @@
 
 @dataclass(slots=True)
 class Call:
-    """A set-up under way or a session."""
+    """A set-up in progress or a playing session.
+
+    `number` identifies the call to the controller, and `viewer` is the number of the viewer's connection.
+    """
 
     id: bytes
     number: int
@@ -209,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Sight:
-    """One thing seen, with what came along."""
+    """An input event with its data."""
 
     seen: Seen
     outcome: Outcome = Outcome.SERVED
@@ -219,7 +224,7 @@
 
 @dataclass(slots=True)
 class Calls:
-    """All calls of a gateway and its module."""
+    """All calls of a gateway, with its controller."""
 
     module: Controller
     by_id: dict[bytes, Call] = field(default_factory=dict)
@@ -228,10 +233,13 @@
     _numbers: int = 0
     _out: list[Command] = field(default_factory=list)
 
-    # What viewers do
+    # Viewers
 
     def ask(self, now: int, wish: Wish, viewer: int, since: int | None = None) -> list[Command]:
-        """Take a set-up under an id that is not in use; its budget counts from `since`, or from now."""
+        """Pass a new set-up to the controller. Its time budget starts at `since`, or now if that is None.
+
+        Raises ValueError if its call reference is in use.
+        """
         spent = now - since if since is not None else 0
         call = self._new(now - spent, wish, viewer)
         call.passed = wish.passed
@@ -251,7 +259,7 @@
         return self._feed(now, request)
 
     def found(self, now: int, wish: Wish, viewer: int, host: bytes) -> list[Command]:
-        """Take a session that plays at `host` already."""
+        """Adopt a session that is already playing at `host`. Raises ValueError if its id is in use."""
         call = self._new(now, wish, viewer)
         call.stage, call.host, call.attempt, call.since = Stage.STANDING, host, 0, now
         self._at.setdefault(host, {})[call.number] = call
@@ -261,21 +269,21 @@
         return self._feed(now, event)
 
     def left(self, now: int, call_id: bytes) -> list[Command]:
-        """Take it that nobody waits for the call or watches the session any more."""
+        """Cancel the set-up or end the session: the viewer no longer waits or watches."""
         call = self.by_id.get(call_id)
         return self._take(now, call, _Sight(Seen.LEFT, Outcome.CANCELLED)) if call is not None else []
 
-    # What hosts say, and what is seen of them
+    # Hosts
 
     def started(self, now: int, call_id: bytes, host: bytes, description: bytes) -> list[Command]:
-        """Take a host's answer."""
+        """Process a host's answer to an attempt."""
         call = self._of(call_id, host)
         return self._take(now, call, _Sight(Seen.STARTED, Outcome.CANCELLED, (), description)) if call else []
 
     def ended(
         self, now: int, call_id: bytes, host: bytes, evidence: Evidence, load: tuple[float, ...] = ()
     ) -> list[Command]:
-        """Take what was seen at the end of an attempt that brought no session."""
+        """Process the end of an attempt without a session, classified by its evidence."""
         call = self._of(call_id, host)
         outcome = OUTCOMES[evidence].outcome
         if call is None or outcome is None:
@@ -285,62 +293,62 @@
     def over(
         self, now: int, call_id: bytes, host: bytes, outcome: Outcome, load: tuple[float, ...] = ()
     ) -> list[Command]:
-        """Take the end of a session at its host: SERVED at its end, RESET cut, CANCELLED by its viewer."""
+        """Process a session's end at its host: SERVED if complete, RESET if cut, CANCELLED by its viewer."""
         call = self._of(call_id, host)
         return self._take(now, call, _Sight(Seen.OVER, outcome, load)) if call is not None else []
 
     def noted(self, now: int, call_id: bytes, host: bytes, kind: NoteKind, value: float) -> list[Command]:
-        """Take a note on a session that stands."""
+        """Pass a host's note about a playing session to the controller."""
         call = self._of(call_id, host)
         if call is None or call.stage is not Stage.STANDING:
             return []
         return self._feed(now, api.Note(call.number, host, kind, value))
 
     def host_dead(self, now: int, host: bytes, before: int | None = None) -> list[Command]:
-        """Take the end of a host's process: its sessions, or those older than `before`, are cut."""
+        """End the host's sessions because its process died; with `before`, only those older than that."""
         commands: list[Command] = []
         for call in list(self._at.get(host, {}).values()):
             if call.stage is Stage.STANDING and (before is None or call.since < before):
                 commands += self._take(now, call, _Sight(Seen.OVER, Outcome.RESET))
         return commands
 
-    # What else the module hears
+    # Other inputs of the controller
 
     def start(self, now: int) -> list[Command]:
-        """Tell the module that the gateway has come up."""
+        """Notify the controller that the gateway has started."""
         return self._feed(now, api.Started())
 
     def list(self, now: int, news: api.ServerList) -> list[Command]:
-        """Take news of the list of hosts."""
+        """Pass a host list update to the controller."""
         return self._feed(now, news)
 
     def woken(self, now: int, token: int) -> list[Command]:
-        """Take the end of a timer."""
+        """Pass a timer that has fired to the controller."""
         return self._feed(now, api.TimerFired(token))
 
     def standing_at(self, host: bytes) -> bool:
-        """Tell whether a session stands at the host."""
+        """Return whether a session is playing at the host."""
         return any(call.stage is Stage.STANDING for call in self._at.get(host, {}).values())
 
     def counts(self) -> dict[str, int]:
-        """Count calls by stage."""
+        """Count the calls in each state."""
         counts = {stage.value: 0 for stage in Stage}
         for call in self.by_id.values():
             counts[call.stage.value] += 1
         return counts
 
-    # The table at work
+    # Transitions and actions
 
     def _new(self, now: int, wish: Wish, viewer: int) -> Call:
         if wish.call in self.by_id:
-            raise ValueError(f"call {wish.call.hex()} is in use")
+            raise ValueError(f"call reference {wish.call.hex()} is already in use")
         self._numbers += 1
         call = Call(wish.call, self._numbers, viewer, now + wish.budget, now)
         self.by_id[call.id] = self._by_number[call.number] = call
         return call
 
     def _of(self, call_id: bytes, host: bytes) -> Call | None:
-        """Give the call where its attempt or session is at `host`; what others say of it is late."""
+        """Return the call if its attempt or session is at `host`; from another host a message is late."""
         call = self.by_id.get(call_id)
         return call if call is not None and call.host == host else None
 
@@ -354,7 +362,7 @@
                 owed.append(Answer(call.id, call.viewer, sight.description))
             elif each is Owed.CUT:
                 owed.append(Cut(call.id, call.host))
-            elif sight.outcome is not Outcome.CANCELLED:  # ended by its viewer: nothing is owed
+            elif sight.outcome is not Outcome.CANCELLED:  # a viewer that ended its session gets no release
                 owed.append(Release(call.id, call.viewer, sight.outcome is Outcome.SERVED))
         event = self._event(now, call, step.tell, sight)
         call.stage = step.to or call.stage
@@ -386,7 +394,10 @@
         self._by_number.pop(call.number, None)
 
     def _feed(self, now: int, event: api.Event) -> list[Command]:
-        """Hand an event to the module and turn its actions into commands."""
+        """Pass an event to the controller and turn its actions into commands.
+
+        An action can cause another event, which is processed before this returns.
+        """
         commands: list[Command] = []
         events: deque[api.Event] = deque((event,))
         while events:
--- a/mintmast/signalling/__init__.py
+++ b/mintmast/signalling/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's set-up protocol, to viewers and to media hosts: one more way in and out of the gateway."""
+"""The platform's binary set-up protocol over TCP: the gateway's adapter to viewers and media hosts."""
--- a/mintmast/signalling/asking.py
+++ b/mintmast/signalling/asking.py
@@ -1,4 +1,4 @@
-"""Viewers' set-ups, read against the settings: a wish, or the cause for which it cannot be one."""
+"""Parses and validates viewers' set-ups against the settings."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 MS = 1000
 _WHOLE = re.compile(r"[0-9]{1,9}")
 _TITLE = re.compile(r"[0-9a-fA-F]{16}")
-# bytes that patience, rung and the head take in the set-up to a host
+# bytes reserved for the timeout, the rung and the header, which the gateway adds to the set-up for a host
 _OUR_PART = 64
 _ALWAYS, _NO_CALL = {Param.CLASS, Param.TITLE, Param.FIGURES}, bytes(8)
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What set-ups may name: classes with the longest patience of each (µs), tenants.
+    """Classes and tenants that a set-up may name, by index, with each class's longest timeout in µs.
 
     Names are compared as bytes: they come from the settings, which may use any letters.
     """
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Asked:
-    """A set-up that can be read; `at` names the host where it plays already, else empty."""
+    """A valid set-up; `at` is the id of the host where the session already plays, or empty for a new one."""
 
     wish: Wish
     at: bytes = b""
 
 
 def read(message: Message, terms: Terms) -> Asked | Cause:
-    """Read a set-up, or give the cause to release it with."""
+    """Parse a set-up, or return the cause to release it with."""
     if message.fault is not None:
         return message.fault
     service = terms.classes.get(message.params.get(Param.CLASS, b""))
@@ -60,7 +60,7 @@
     budget = _whole(message.text(Param.PATIENCE), 1, terms.patience[service] // MS + 1)
     if not at and (Param.PATIENCE not in message.params or Param.DESCRIPTION not in message.params):
         return Cause.MANDATORY_ELEMENT_MISSING
-    # without these nobody can tell where the session may go: a guess could name a host without the title
+    # required: they determine which hosts hold the title, and a default could pick one that does not
     home = _figure(figures.get("home", ""), 0, 65_535)
     copies = _figure(figures.get("copies", ""), 1, 65_535)
     top = _figure(figures.get("top", ""), 0, 255)
@@ -111,7 +111,7 @@
 
 
 def _figure(text: str, least: int, most: int) -> int | None:
-    """Read a whole number that may be written with a point, as the simulator's figures are."""
+    """Parse an integer that may be written with a decimal point, as the simulator writes its numbers."""
     number = number_of(text)
     if number is None or number != int(number) or not least <= number <= most:
         return None
@@ -119,13 +119,13 @@
 
 
 def _span(text: str | None) -> int | None:
-    """Read a span of ms as µs; a day at most."""
+    """Parse a duration in ms, of one day at most, and return it in µs."""
     number = number_of(text or "")
     return round(number * MS) if number is not None and 0 <= number <= 86_400_000 else None
 
 
 def number_of(text: str) -> float | None:
-    """Read a finite number of at most 32 characters; None where it is none."""
+    """Parse a finite number of at most 32 characters; return None if it is not one."""
     if len(text) > 32 or "_" in text or not text.isascii():
         return None
     try:
--- a/mintmast/signalling/changelog.py
+++ b/mintmast/signalling/changelog.py
@@ -1,4 +1,7 @@
-"""The platform's change log: server-sent events over HTTP, taken up where the last one ended."""
+"""Client of the platform's change log: service discovery by server-sent events over HTTP.
+
+A new connection resumes after the last event received, by `Last-Event-ID`.
+"""
 
 from __future__ import annotations
 
@@ -9,19 +12,19 @@
 from mintmast.http.events import EventReader
 from mintmast.loop import Loop, Timer
 
-# µs without a byte after which the log counts as silent: it sends a comment each second, and what it would
-# have told counts as told after 4 s
+# µs without a byte after which the client reconnects. The log sends a comment every second, and the platform
+# expects each change to be known to the gateway within 4 s.
 SILENT = 2_200_000
-# µs before it is asked again after an end or a refusal, doubled with each in a row up to half a second
+# µs between reconnections: exponential backoff, doubled with each failure in a row up to the maximum
 AGAIN, AGAIN_MOST = 20_000, 500_000
-# bytes of one event: a full list of some thousand hosts
+# bytes of one event: enough for a full list of several thousand hosts
 MOST_EVENT = 4 << 20
 
 
 class ChangeLog:
-    """Follows the log at `address` from number `seq` on; `take` hears each event once, in order.
+    """Follows the log at `address` after sequence number `seq` and passes each event on once, in order.
 
-    What breaks off within an event is dropped and asked for again; what comes twice is passed over.
+    An event that a broken connection cut off is dropped and requested again; duplicates are ignored.
     """
 
     def __init__(
@@ -38,12 +41,12 @@
         self._call: Call | None = None
         self._reader = EventReader(self._event, MOST_EVENT)
         self._fails = self._heard = 0
-        self._version = -1  # the highest of the list that was heard
+        self._version = -1  # the highest list version received
         self._gap: int | None = None
         self._timer: Timer | None = loop.call_soon(self._ask)
 
     def move(self, address: Address) -> None:
-        """Follow the log at another address; numbers go on."""
+        """Follow the log at another address, from the same sequence number on."""
         if address != self.address:
             self.address, self._fails = address, 0
             call, self._call = self._call, None
@@ -52,7 +55,7 @@
             self._ask()
 
     def event(self, event: dict[str, Any]) -> None:
-        """Take one event, wherever it was heard."""
+        """Process one event, from the log or from the configuration."""
         seq = event.get("seq")
         if not isinstance(seq, int) or isinstance(seq, bool):
             return
@@ -60,12 +63,13 @@
         told = fleet if isinstance(fleet, dict) else {}
         version = told.get("version")
         if seq <= self.seq:
-            # Danger: a log that lost its numbers would be passed over until it has caught up, and the list be
-            # stale for as long. A whole list of a version not heard yet shows it; a repeat has an old one.
+            # A log that lost its sequence numbers starts again at a low one. Its events would be ignored as
+            # duplicates until it catches up, and the list would be stale meanwhile. A full list with a new
+            # version reveals the restart; in a duplicate the version is old.
             newer = isinstance(version, int) and version > self._version
             if not (newer and told.get("full") is True):
                 return
-            self._say("changelog", state="numbers start again", seq=self.seq, told=seq)
+            self._say("changelog", state="sequence numbers restarted", seq=self.seq, told=seq)
         if isinstance(version, int):
             self._version = max(self._version, version)
         self.seq = seq
@@ -75,7 +79,7 @@
         self._fails = 0
         seq = fields.get("seq")
         if isinstance(seq, int) and seq > self.seq + 1 and self._gap != self.seq:
-            # something was skipped: ask for it, once; where it does not come, what there is counts
+            # events were skipped: request them again once; if they do not come, accept the gap
             self._gap = self.seq
             self._say("changelog", state="gap", seq=self.seq, told=seq)
             call, self._call = self._call, None
--- a/mintmast/signalling/configuration.py
+++ b/mintmast/signalling/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration and the list as the platform writes them, read against their forms."""
+"""Schemas of the platform's configuration file and host list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; one line. `again`: nothing is wrong with it, it could not be read."""
+    """The configuration is invalid or unreadable; the message is one line.
+
+    `again` is set if a lack of file descriptors kept the file from being read, so that a retry may succeed.
+    """
 
     again = False
 
@@ -27,7 +30,7 @@
 
 
 class Config(msgspec.Struct):
-    """The configuration as the platform writes it."""
+    """The configuration file that the platform writes."""
 
     name: str
     listen: str
@@ -48,7 +51,7 @@
 
 
 class Names(msgspec.Struct):
-    """What the module does not need of the settings: names and transport."""
+    """The part of the settings that this adapter uses: names, and transport timeouts in µs."""
 
     services: list[_Named]
     accounts: list[_Named] = []
@@ -58,7 +61,7 @@
 
 
 class Entry(msgspec.Struct):
-    """One host of the list."""
+    """One host of the list; `started_ms` is Unix time, and 0 if the start is not known."""
 
     id: str
     addr: str
@@ -71,7 +74,7 @@
 
 
 class Fleet(msgspec.Struct):
-    """The list, or what has changed of it."""
+    """A full host list, or the entries that changed."""
 
     version: int
     servers: list[Entry]
@@ -79,7 +82,7 @@
 
 
 def read_config(path: str) -> Config:
-    """Read the configuration. Raises ConfigError."""
+    """Read and validate the configuration file. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             config = msgspec.json.decode(file.read(), type=Config)
@@ -96,8 +99,8 @@
 
 
 def address_of(text: str) -> Address:
-    """Give host and port of `10.0.0.4:5060`. Raises ValueError."""
+    """Parse an address such as `10.0.0.4:5060` into host and port. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is not an address and a port")
+        raise ValueError(f"{text!r} is not an address of the form HOST:PORT")
     return host.strip("[]"), int(port)
--- a/mintmast/signalling/hostconnection.py
+++ b/mintmast/signalling/hostconnection.py
@@ -1,4 +1,4 @@
-"""One connection to a media host: it carries one set-up at a time, and what the host says of others."""
+"""One TCP connection to a media host: carries one set-up at a time, and messages about other sessions."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 if TYPE_CHECKING:
     from mintmast.signalling.hosts import Pool
 
-# µs without a word after which an idle connection is tested, and after which a test has failed: a machine
-# that is cut off says nothing, and what stood there must be released within 8 s
+# µs without a received byte after which a health check is sent, and after which the check has failed. A host
+# that is cut off from the network sends nothing, and the platform requires its sessions to be released
+# within 8 s.
 QUIET, DEAF = 1_000_000, 1_500_000
 _EVIDENCE = {
     Cause.NO_CIRCUIT_AVAILABLE: Evidence.FULL,
@@ -25,63 +26,65 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A set-up on its way to a host, to be connected by `connect_by`."""
+    """A set-up in progress at a host; it needs a working connection by `connect_by`."""
 
     call: bytes
     frame: bytes
     connect_by: int
     connection: HostConnection | None = None
     timers: tuple[Timer, ...] = ()
-    end: int | None = None  # what its connection will have handed over once it is whole; None: not written
+    # bytes that the connection has handed to the network once the set-up is fully sent; None: not written yet
+    end: int | None = None
 
 
 class HostConnection(Handler):
-    """One connection to a host."""
+    """A connection to a host."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
-        self.raw: Stream | None = None
-        self.stream: Stream | None = None  # once it is connected
+        self.raw: Stream | None = None  # from the connection attempt on
+        self.stream: Stream | None = None  # only while connected
         self.written = 0
         self.attempt: Attempt | None = None
         self.was_open = self.over = False
-        self.stale = False  # it leads to an address that is not the host's any more
+        self.stale = False  # connected to an address that the host has left
         now = pool.hosts.loop.now()
         self.began = self.heard = self.used = now
-        self.tested: int | None = None  # when the test that is out was written
-        self._released: deque[tuple[int, bytes]] = deque()  # since the host's last word, and when
+        self.tested: int | None = None  # when the unanswered health check was sent
+        # time and call reference of each release sent since the host's last message
+        self._released: deque[tuple[int, bytes]] = deque()
         self._reader = Reader()
         self._fault = False
         self._reason: Close | None = None
 
     @property
     def idle(self) -> bool:
-        """Tell whether it can take a set-up at once, or be given back."""
+        """Return whether the connection can carry a set-up at once, or be closed as spare."""
         return self.stream is not None and self.attempt is None and not (self.over or self.stale)
 
     def take(self, attempt: Attempt) -> None:
-        """Carry a set-up, once a test has passed."""
+        """Carry a set-up: it is written once a health check has passed."""
         self.attempt, attempt.connection = attempt, self
         self.used = self.pool.hosts.loop.now()
         if self.stream is not None:
             self._test()
 
     def write(self, data: bytes) -> None:
-        """Write, where it is open."""
+        """Write if the connection is open."""
         if self.stream is not None and not self.over:
             self.written += len(data)
             self.stream.write(data)
 
     def release(self, call: bytes) -> None:
-        """Release a session at the host, and keep that until the host says something afterwards."""
+        """Release a session at the host, and keep the release until the host sends something afterwards."""
         self._released.append((self.pool.hosts.loop.now(), call))
         self.write(release(call, Cause.NORMAL_CLEARING))
 
     def unheard(self) -> list[bytes]:
-        """Give the sessions whose release the host may not have heard: no word of it came since.
+        """Return the sessions whose release the host may not have received: it has sent nothing since.
 
-        Danger: the connection breaks under a release, and the session plays on for nobody. Told again on the
-        next connection; a host passes over what it does not hold.
+        If the connection broke before the release arrived, the session would play on without a viewer. So the
+        release is repeated on the next connection; a host ignores a release for a session it does not hold.
         """
         return [call for when, call in self._released if when >= self.heard]
 
@@ -91,7 +94,7 @@
             self.write(test(bytes(8)))
 
     def look(self, now: int) -> None:
-        """See to its tests and to the time it has for coming up."""
+        """Send health checks, and abort after a connect or health check timeout."""
         if self.stream is None:
             if now - self.began >= self.pool.hosts.limits.connect_time:
                 self.fail(Close.UNREACHABLE)
@@ -102,20 +105,20 @@
             self._test()
 
     def fail(self, reason: Close) -> None:
-        """End it from this side for a reason of the other's."""
+        """Abort the connection and report `reason` as the cause of its end."""
         self._reason = reason
         if self.raw is not None:
             self.raw.abort()
 
     def close(self) -> None:
-        """Send what is queued and close."""
+        """Flush queued data and close."""
         if not self.over:
             self.over = True
             if self.stream is not None:
                 self.stream.close()
 
     def opened(self, stream: Stream) -> None:
-        """Take it that the connection stands."""
+        """Start using the connection."""
         self.stream, self.was_open = stream, True
         self.heard = self.pool.hosts.loop.now()
         self.pool.opened(self)
@@ -123,7 +126,7 @@
             self._test()
 
     def received(self, data: bytes) -> None:
-        """Take bytes; with what cannot be read the connection is of no more use."""
+        """Parse received bytes and process the messages; abort the connection on a protocol error."""
         self.heard = self.pool.hosts.loop.now()
         while self._released and self._released[0][0] < self.heard:
             self._released.popleft()
@@ -168,7 +171,7 @@
                 self.write(encode(Kind.HEARD, call))
 
     def closed(self, reason: Close) -> None:
-        """Take the end of the connection."""
+        """Report the end of the connection and of the set-up on it."""
         reason, self.over = self._reason or reason, True
         attempt, self.attempt = self.attempt, None
         stream, self.stream = self.stream, None
@@ -178,10 +181,10 @@
         pool.ended(self, reason)
 
     def _broken(self, attempt: Attempt, stream: Stream | None, reason: Close) -> None:
-        """Say what the end of the connection proves of its set-up."""
+        """Report the evidence that the end of the connection gives about its set-up."""
         pool = self.pool
         if attempt.end is None:
-            # nothing was sent: another connection may carry it while there is time to connect
+            # nothing was sent: another connection can carry the set-up while there is time to connect
             if reason is Close.REFUSED:
                 pool.finish(attempt, Evidence.REFUSED)
             elif self.was_open and pool.hosts.loop.now() < attempt.connect_by:
--- a/mintmast/signalling/hosts.py
+++ b/mintmast/signalling/hosts.py
@@ -1,8 +1,8 @@
-"""Connections to media hosts: pools by the host's id, set-ups with one truthful result, tests, cuts.
+"""Connection pools to media hosts, keyed by host id: one result for each set-up, health checks, releases.
 
-A connection carries one set-up at a time, so that an answer that cannot be read takes no other with it.
-Before a set-up is written the connection is tested: on one that has silently died a paid set-up could not be
-proved unsent any more. Nothing here chooses a host or tries another.
+A connection carries one set-up at a time, so that a malformed answer fails no other set-up with it. A set-up
+is written only after a health check has passed: on a connection that died silently it could not be proved
+that a paid set-up was never sent. Host selection and retries on another host are the controller's.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 from mintmast.signalling.messages import Cause, Kind, Param, encode, release
 
 Address = tuple[str, int]
-# µs between looks at connections
+# µs between checks of all connections
 LOOK = 250_000
-# µs after which an idle connection beyond the first is given back
+# µs of idleness after which a connection beyond the first is closed
 SPARE = 4_000_000
-# part of the connections in use from which spare ones are given back also where sessions stand
+# share of the connections in use above which spare ones are closed even to hosts with sessions
 SCARCE = 0.75
-# bytes that may wait for one host; sessions to be released at a host that cannot be reached just now
+# bounds of a host's stream in bytes, and of the releases queued for a host that cannot be reached
 LIMITS, MOST_CUTS = Limits(unsent=1 << 18, chunk=1 << 15), 1024
 
 
 class HostEvents(Protocol):
-    """What is told of hosts."""
+    """Callbacks for events of media hosts."""
 
     def started(self, host: bytes, call: bytes, description: bytes) -> None:
-        """Take an answer."""
+        """Process an answer to an attempt."""
 
     def ended(self, host: bytes, call: bytes, evidence: Evidence, load: str) -> None:
-        """Take the end of an attempt without an answer."""
+        """Process the end of an attempt without an answer."""
 
     def over(self, host: bytes, call: bytes, cause: int, load: str) -> None:
-        """Take a release of what is no attempt that is out."""
+        """Process a release that belongs to no attempt in progress."""
 
     def noted(self, host: bytes, call: bytes, name: str, figure: str) -> None:
-        """Take a note."""
+        """Process a note about a session."""
 
     def dead(self, host: bytes, when: int, why: str) -> None:
-        """Take it that the host's process was gone at `when`, and what stood there with it."""
+        """Process the death of the host's process, observed at `when`; its sessions ended with it."""
 
     def wanted(self, host: bytes) -> bool:
-        """Tell whether sessions stand at the host, so that a connection to it is to be kept."""
+        """Return whether sessions play at the host, so that a connection to it must be kept."""
 
 
 @dataclass(slots=True)
 class HostLimits:
-    """Bounds, in microseconds and connections; all from the settings."""
+    """Timeouts in µs, and the largest number of connections; all from the settings."""
 
     connect_time: int
     idle_time: int
@@ -59,17 +59,17 @@
 
 
 class MediaHosts:
-    """All pools. `events` hears what hosts say and what is seen of them, never before a call returns."""
+    """All connection pools. Reports to `events`, never before the method that caused the event returns."""
 
     def __init__(self, loop: Loop, events: HostEvents, limits: HostLimits) -> None:
         self.loop, self.events, self.limits = loop, events, limits
         self.pools: dict[bytes, Pool] = {}
         self.in_use = 0
-        self.moves = 0  # times that a host came to an address
+        self.moves = 0  # counts hosts' arrivals at an address, to order them
         loop.call_at(loop.now() + LOOK, self._look)
 
     def listed(self, host: bytes, address: Address, gone: bool, anew: bool = False) -> None:
-        """Take what the list says of a host; `anew`: its process is another than before."""
+        """Update a host from the list; `anew` if its process has restarted."""
         pool = self.pools.get(host)
         if pool is None:
             if gone:
@@ -88,7 +88,7 @@
                 each.is_replaced = each.is_replaced and each.gone
 
     def set_up(self, host: bytes, call: bytes, frame: bytes, until: int) -> None:
-        """Send a set-up; one of `started` and `ended` follows."""
+        """Send a set-up. Exactly one report of its answer or its end follows, unless it is cancelled."""
         pool = self.pools.get(host)
         if pool is None or pool.is_replaced:
             self.loop.call_soon(self.events.ended, host, call, Evidence.NOT_CONNECTED, "")
@@ -103,14 +103,14 @@
         pool.assign(attempt)
 
     def call_off(self, host: bytes, call: bytes) -> None:
-        """Give up a set-up; nothing more is told of it."""
+        """Cancel a set-up; nothing more is reported about it."""
         pool = self.pools.get(host)
         attempt = pool.out.get(call) if pool is not None else None
         if pool is not None and attempt is not None:
             pool.drop(attempt)
 
     def withdraw(self, host: bytes, call: bytes) -> bool:
-        """Give up a set-up that was not written yet; False where there is none, and nothing changes."""
+        """Cancel a set-up that was not written yet. Return False, without a change, if there is none."""
         pool = self.pools.get(host)
         attempt = pool.out.get(call) if pool is not None else None
         if pool is None or attempt is None or attempt.end is not None:
@@ -119,22 +119,22 @@
         return True
 
     def cut(self, host: bytes, call: bytes) -> None:
-        """End a session, at once or with the next connection."""
+        """Release a session, at once or on the next connection."""
         pool = self.pools.get(host)
         if pool is not None:
             pool.cut(call)
 
     def rung(self, host: bytes, call: bytes, rung: int) -> None:
-        """Tell a new rung, where a connection is open."""
+        """Send a new rung if a connection is open."""
         pool = self.pools.get(host)
         connection = pool.any_open() if pool is not None else None
         if connection is not None:
             connection.write(encode(Kind.RUNG, call, [(Param.RUNG, b"%d" % rung)]))
 
     def has_room(self) -> bool:
-        """Tell whether there may be one more connection; a spare one goes for it, the one unused for longest.
+        """Return whether one more connection is allowed; closes the least recently used spare one for it.
 
-        Danger: spare connections to hosts that are not chosen any more would keep all others out.
+        Otherwise spare connections to hosts that are no longer selected would exhaust the limit.
         """
         if self.in_use >= self.limits.connections:
             spare = [connection for pool in self.pools.values() for connection in pool.spare()]
@@ -151,7 +151,7 @@
 
 
 class Pool:
-    """All connections to one host, keyed by its id: another host may come to its address."""
+    """All connections to one host. Pools are keyed by id, as another host may take over its address."""
 
     def __init__(self, hosts: MediaHosts, host: bytes, address: Address) -> None:
         self.hosts, self.host, self.address = hosts, host, address
@@ -165,15 +165,15 @@
         self.arrive()
 
     def arrive(self) -> None:
-        """Take it that the host has just come to its address."""
+        """Record that the host has just arrived at its address."""
         self.hosts.moves += 1
         self._came = self.hosts.moves
 
     def move(self, address: Address) -> None:
-        """Take another address; set-ups not written yet go there, and so does what comes later.
+        """Use another address, also for the set-ups that were not written yet.
 
-        Danger: the old address may be another host's by now, and a set-up written there would run at a host
-        that its session may not go to.
+        The old address may be another host's by now, and a set-up written there would run at a host that its
+        session may not use.
         """
         self.address = address
         self.arrive()
@@ -190,11 +190,11 @@
             self.assign(attempt)
 
     def took_over(self, other: Pool) -> bool:
-        """Tell whether this host came to the other's address later: the other is not reached there now."""
+        """Return whether this host took over the other's address; the other is not reachable there."""
         return self is not other and not self.gone and (other.gone or self._came > other._came)
 
     def spare(self) -> list[HostConnection]:
-        """Give connections that can go: idle ones to a host where no session stands."""
+        """Return the connections that may be closed: idle ones to a host without sessions."""
         if self.cuts or self.hosts.events.wanted(self.host):
             return []
         return [connection for connection in self.connections if connection.idle]
@@ -202,7 +202,7 @@
     # Set-ups
 
     def assign(self, attempt: Attempt) -> None:
-        """Put a set-up on an idle connection, the one last heard, or on a new one."""
+        """Assign a set-up to the idle connection that received last, or to a new one."""
         idle = [connection for connection in self.connections if connection.idle]
         if idle:
             max(idle, key=lambda connection: connection.heard).take(attempt)
@@ -212,7 +212,7 @@
             self.finish(attempt, Evidence.NOT_CONNECTED)
 
     def connect(self) -> HostConnection:
-        """Begin a new connection."""
+        """Open a new connection."""
         connection = HostConnection(self)
         self.connections.append(connection)
         self.hosts.in_use += 1
@@ -220,7 +220,7 @@
         return connection
 
     def unconnected(self, attempt: Attempt) -> None:
-        """End an attempt that found no connection that works in the time for it, and that connection."""
+        """End an attempt that got no working connection in time, and abort the connection it waited for."""
         connection = attempt.connection
         if attempt.end is None:
             self.finish(attempt, Evidence.NOT_CONNECTED)
@@ -229,13 +229,13 @@
                 connection.fail(Close.UNREACHABLE)
 
     def late(self, attempt: Attempt) -> None:
-        """Give up an attempt whose time has run out."""
+        """End an attempt at its deadline."""
         sent = attempt.end is not None
         self.drop(attempt)
         self._tell(attempt, Evidence.SILENT if sent else Evidence.LATE_UNSENT)
 
     def drop(self, attempt: Attempt) -> None:
-        """Forget an attempt; the host hears that it is given up where it may have heard of it."""
+        """Cancel an attempt, also at the host if the set-up may have reached it."""
         connection = attempt.connection
         self.forget(attempt)
         if connection is None:
@@ -243,18 +243,19 @@
         connection.attempt = None
         if attempt.end is None:
             return
-        # no answer came on this connection: nothing that stands on it can be trusted to come either
+        # the host did not answer on this connection, so it may not process the release there either: the
+        # connection is closed, and the release is repeated on another one
         connection.write(release(attempt.call, Cause.NORMAL_CLEARING))
         connection.close()
         self.cut(attempt.call)
 
     def finish(self, attempt: Attempt, evidence: Evidence, load: str = "") -> None:
-        """Tell the end of an attempt."""
+        """End an attempt and report its evidence."""
         self.forget(attempt)
         self._tell(attempt, evidence, load)
 
     def forget(self, attempt: Attempt) -> None:
-        """Drop an attempt and its timers; nothing is told."""
+        """Remove an attempt and its timers without a report."""
         self.out.pop(attempt.call, None)
         for timer in attempt.timers:
             timer.cancel()
@@ -262,10 +263,10 @@
     def _tell(self, attempt: Attempt, evidence: Evidence, load: str = "") -> None:
         self.hosts.loop.call_soon(self.hosts.events.ended, self.host, attempt.call, evidence, load)
 
-    # Cuts
+    # Releases
 
     def any_open(self) -> HostConnection | None:
-        """Give an open connection, the one last heard."""
+        """Return the open connection that received last, if any."""
         connections = [
             connection
             for connection in self.connections
@@ -274,7 +275,7 @@
         return max(connections, key=lambda connection: connection.heard) if connections else None
 
     def cut(self, call: bytes) -> None:
-        """Release what may stand there, now or with the next connection."""
+        """Release a session that the host may hold, now or on the next connection."""
         connection = self.any_open()
         if connection is not None:
             connection.release(call)
@@ -284,13 +285,13 @@
     # Connections
 
     def opened(self, connection: HostConnection) -> None:
-        """Take a new connection, and send what waited for one."""
+        """Send the queued releases on a new connection."""
         self.misses = 0
         while self.cuts:
             connection.release(self.cuts.popleft())
 
     def ended(self, connection: HostConnection, reason: Close) -> None:
-        """Take the end of a connection; without any left, and none to be had, the process is gone."""
+        """Process the end of a connection; if none is left and none can be opened, report the host dead."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.hosts.in_use -= 1
@@ -301,7 +302,7 @@
         if any(each.stream is not None for each in self.connections):
             return
         if reason is Close.EXHAUSTED or connection.stale:
-            return  # it says nothing of the host; tried again at the next look
+            return  # no evidence about the host; the next periodic check reconnects
         if reason is Close.REFUSED:
             self._dead("refused")
         elif not connection.was_open and reason is not Close.LOCAL:
@@ -316,10 +317,11 @@
             self.connect()
 
     def _hear_again(self) -> bool:
-        """Open a connection in place of one that ended, where sessions stand; False where none is needed.
+        """Open a connection in place of one that ended, if sessions play there. Return False if not needed.
 
-        Danger: what the host told on the old one may have crossed its end. It tells ends once more, on the
-        next connection that is opened, and would never be heard by a gateway that keeps to the others.
+        A message of the host about a session's end may have crossed the close of the old connection. The host
+        repeats it on the next connection that opens, so a gateway that only kept its other connections would
+        never receive it.
         """
         if self.is_replaced or not self.hosts.events.wanted(self.host):
             return False
@@ -330,7 +332,7 @@
         return True
 
     def replaced(self) -> None:
-        """Take it that another host has the address: what is reached there is no longer this one."""
+        """Report the host dead: another host has its address, so this one is not reachable there."""
         if not self.is_replaced:
             self.is_replaced = True
             for connection in list(self.connections):
@@ -342,7 +344,7 @@
         self.hosts.loop.call_soon(self.hosts.events.dead, self.host, self.hosts.loop.now(), why)
 
     def look(self) -> None:
-        """Test quiet connections, end deaf ones, give back spare ones, keep one where sessions stand."""
+        """Check the host's connections: health checks, timeouts, spare ones, and one to keep for sessions."""
         now = self.hosts.loop.now()
         wanted = bool(self.cuts) or self.hosts.events.wanted(self.host)
         for connection in list(self.connections):
--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -1,7 +1,8 @@
-"""Codec of the platform's set-up messages, without I/O: bytes in, messages out, every bound checked.
+"""Codec of the platform's binary set-up messages, without I/O; checks every bound.
 
-A message is length:2 type:1 session:8 and parameters, its length counts all that follows it; a parameter is
-code:1 length:2 value. Numbers are big-endian.
+Message: length:2 type:1 call reference:8, then parameters; the length counts the bytes after itself.
+Parameter: code:1 length:2 value. Integers are big-endian. Message types and causes follow ISUP and ITU-T
+Q.850 where these have them.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 
 _HEAD = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
-# bytes of type and session, and of the longest message that the protocol allows
+# smallest length field (type and call reference) and the largest that the protocol allows
 _LEAST, MOST = 9, 16_384
 
 
 class Kind(IntEnum):
-    """Types of messages."""
+    """Message types."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
-    RELEASE = 12  # before the answer a refusal, a failure or a set-up given up
-    HEARD = 16
+    RELEASE = 12  # before the answer: refuses, fails or cancels the set-up
+    HEARD = 16  # acknowledges a release
     NOTE = 44
     MOVE = 51
     TEST = 52
@@ -33,14 +34,14 @@
 
 
 class Param(IntEnum):
-    """Codes of parameters."""
+    """Parameter codes."""
 
     CLASS = 16
-    PATIENCE = 18  # ms that the sender waits for the answer
+    PATIENCE = 18  # ms for which the sender waits for the answer
     TENANT = 20
     RETRY = 22
     TITLE = 24
-    FIGURES = 26
+    FIGURES = 26  # such as home:3;copies:2;top:5
     STAY_AWAY = 28  # ms
     NOTE = 30
     LOAD = 34
@@ -52,7 +53,7 @@
 
 
 class Cause(IntEnum):
-    """Causes by their names in ITU-T Q.850, as far as they are used here."""
+    """Release causes with their names in ITU-T Q.850, as far as they are used here."""
 
     NORMAL_CLEARING = 16
     NORMAL_UNSPECIFIED = 31
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message; with `fault` its parameters could not be read."""
+    """A decoded message; `call` is its call reference. If `fault` is set, its parameters were malformed."""
 
     kind: int
     call: bytes
@@ -82,12 +83,12 @@
 
     @property
     def cause(self) -> int | None:
-        """Give the cause's number, or None where there is none of one byte."""
+        """Return the cause's number, or None if the parameter is missing or not one byte long."""
         value = self.params.get(Param.CAUSE)
         return value[0] if value is not None and len(value) == 1 else None
 
     def text(self, param: Param) -> str | None:
-        """Give a parameter as text; None where it is absent or not printable UTF-8."""
+        """Return a parameter as text, or None if it is missing or not printable UTF-8."""
         value = self.params.get(param)
         try:
             text = value.decode() if value is not None else ""
@@ -97,15 +98,15 @@
 
 
 def encode(kind: Kind, call: bytes, params: Iterable[tuple[Param, bytes]] = ()) -> bytes:
-    """Give the bytes of a message. Raises ValueError where it would be too long."""
+    """Encode a message. Raises ValueError if it would be too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in params)
     if len(body) + _LEAST > MOST:
-        raise ValueError(f"a message of {len(body) + _LEAST} bytes")
+        raise ValueError(f"message of {len(body) + _LEAST} bytes exceeds the limit of {MOST}")
     return _HEAD.pack(len(body) + _LEAST, kind, call) + body
 
 
 def release(call: bytes, cause: Cause | int, stay_away: int = 0) -> bytes:
-    """Give a release; `stay_away` in ms, 0 for none."""
+    """Encode a release; `stay_away` is the retry advice in ms, 0 for none."""
     params = [(Param.CAUSE, bytes((cause,)))]
     if stay_away > 0:
         params.append((Param.STAY_AWAY, b"%d" % stay_away))
@@ -113,17 +114,17 @@
 
 
 def test(call: bytes) -> bytes:
-    """Give a test of the connection."""
+    """Encode a health check of the connection."""
     return encode(Kind.TEST, call, [(Param.CAUSE, b"\0")])
 
 
 def tested(call: bytes, passed: bool) -> bytes:
-    """Give the answer to a test."""
+    """Encode the reply to a health check."""
     return encode(Kind.TESTED, call, [(Param.CAUSE, b"\1" if passed else b"\0")])
 
 
 class Reader:
-    """Messages from the bytes of one connection; `broken` once nothing behind can be read any more."""
+    """Incremental decoder for one connection; `broken` once the framing is lost."""
 
     __slots__ = ("_rest", "broken")
 
@@ -133,14 +134,14 @@
 
     @property
     def partial(self) -> bool:
-        """Tell whether the beginning of a message waits for its end."""
+        """Return whether an incomplete message is buffered."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take bytes and give the messages that are whole now.
+        """Decode received bytes and return the messages that they complete.
 
-        The length told is trusted for no more than one message of the longest kind: what is held never
-        exceeds that. A length or type that no message has is seen at its first bytes.
+        Never buffers more than one message of the largest length, whatever length a peer announces. Detects an
+        invalid length or type as soon as its bytes arrive.
         """
         if self.broken:
             return []
--- a/mintmast/signalling/node.py
+++ b/mintmast/signalling/node.py
@@ -1,4 +1,4 @@
-"""The gateway on the platform: configuration, wiring, signals. `python -m mintmast node` runs it."""
+"""The gateway process for the platform: configuration, wiring, signals. `python -m mintmast node` runs it."""
 
 from __future__ import annotations
 
@@ -51,27 +51,28 @@
     Cause.NORMAL_CLEARING: api.Outcome.SERVED,
     Cause.NORMAL_UNSPECIFIED: api.Outcome.CANCELLED,
 }
-# µs after SIGTERM in which set-ups may still come: 0.4 s on new connections, 0.2 s more on open ones; and
-# between looks whether the last is answered
+# µs after SIGTERM in which set-ups are still accepted: the platform sends them for 0.4 s on new connections
+# and for 0.2 s more on open ones; and µs between checks of whether the shutdown can go on
 STILL_COME, STOP_LOOK = 900_000, 50_000
-# µs from then in which what is unread or not taken yet is waited for, and in which peers may close: those who
-# flood or take nothing do not hold up the end
+# µs after that in which unread and unsent data is waited for, and then in which peers may close: a peer that
+# floods the gateway or accepts no bytes does not delay the shutdown further
 STOP_WAIT, CLOSE_WAIT = 2_000_000, 500_000
-# µs before a configuration is read again that could not be for want of a descriptor
+# µs until a reload is retried that lacked a file descriptor
 READ_AGAIN = 100_000
-# part of the descriptors for viewers: their own third, and as much for peers that only hold them; and how
-# many are for the listener, the selector, the change log and what the interpreter needs
+# share of the file descriptors for viewers: a third for real ones, the rest for peers with idle connections;
+# and the number reserved for the listener, the selector, the change log and the interpreter
 VIEWERS_PART, OWN_SOCKETS = 0.5, 24
-# part of the memory for set-ups under way: the program itself takes 11 MB, the least limit is 32
+# share of the memory limit for set-ups in progress: the program itself takes 11 MB, the smallest limit is 32
 SET_UPS_PART = 0.25
-# µs after the first passed test in which sessions may be told that play already: a start's come at once
+# µs after the first passed health check in which playing sessions may be handed over; the platform hands over
+# those of a restart at once
 FOUND_WITHIN = 10_000_000
-# ends kept that were heard in that time of sessions not told yet
+# session ends kept in that time for sessions that were not handed over yet
 MOST_EARLY = 4096
 
 
 class Node:
-    """One gateway on a loop."""
+    """A gateway on an event loop: connects viewers, media hosts, the change log and the calls."""
 
     def __init__(self, loop: Loop, config: Config, say: Say) -> None:
         self.loop, self.say = loop, say
@@ -79,11 +80,11 @@
         names = self._names = msgspec.json.decode(config.settings, type=Names)
         self.settings = settings
         self.calls = Calls(Controller(settings, int(config.seed, 16)))
-        # what the platform tells as Unix time is put on the loop's clock by one difference for all
+        # offset from the loop's clock to Unix time in µs, read once so that all conversions agree
         self._unix = int(loop.wall() * 1_000_000) - loop.now()
         self._entries: dict[bytes, api.ListEntry] = {}
-        self._found_until: int | None = None  # None until a test has passed
-        self._ended_early: dict[bytes, Cause] = {}  # sessions that may be told yet, and how they ended
+        self._found_until: int | None = None  # None until a health check has passed
+        self._ended_early: dict[bytes, Cause] = {}  # sessions that ended before a possible handover, and how
         self.stopping = False
         self.on_stopped: Callable[[], None] = lambda: None
         viewers = int(config.limits.sockets * VIEWERS_PART)
@@ -110,13 +111,13 @@
         self.changelog.seq = max(self.changelog.seq, config.known.seq)
 
     def reload(self, config: Config) -> None:
-        """Take a new configuration: the change log's address and what is known; the rest stays."""
+        """Apply the change log's address and the known events of a new configuration; ignore the rest."""
         self._known(config)
         self.changelog.move(address_of(config.changelog))
         self.say("reloaded", changelog=config.changelog, seq=self.changelog.seq)
 
     def stop(self) -> None:
-        """Take no part in new traffic, answer what still comes, then call `on_stopped`."""
+        """Shut down gracefully: report not ready, answer late set-ups, then call `on_stopped`."""
         if not self.stopping:
             self.stopping = True
             self.say("stopping", **self.calls.counts())
@@ -127,9 +128,10 @@
         self._stopped(self.loop.now() + STOP_WAIT)
 
     def _stopped(self, wait_until: int) -> None:
-        """End once all is answered, and what was answered is out of this process's hands.
+        """Wait until all set-ups are answered and the answers are sent, then close the connections.
 
-        Danger: what is queued here, or lies unread at the peer when a reset comes, is lost with the process.
+        Answers that are still queued here are lost with the process, and so are those that the peer has not
+        read when a reset arrives. So the peers' closes are waited for.
         """
         now, connections = self.loop.now(), self.viewers.connections.values()
         if any(each.open for each in connections) or (now < wait_until and self.viewers.busy()):
@@ -144,7 +146,7 @@
         else:
             self.on_stopped()
 
-    # The list
+    # Host list
 
     def _news(self, event: dict[str, Any]) -> None:
         if "fleet" not in event:
@@ -180,7 +182,7 @@
 
     def _entry(self, told: Entry) -> api.ListEntry:
         if not 0 < len(told.id) <= 64 or told.state not in _STATES:
-            raise ValueError(f"host {told.id[:64]!r} in state {told.state[:64]!r}")
+            raise ValueError(f"host {told.id[:64]!r} has an invalid id or state {told.state[:64]!r}")
         started = told.started_ms * MS - self._unix if told.started_ms else 0
         return api.ListEntry(
             told.id.encode(),
@@ -192,10 +194,10 @@
             told.weight,
         )
 
-    # What viewers do
+    # Callbacks of viewers
 
     def asked(self, viewer: int, asked: Asked, since: int) -> None:
-        """Take a set-up that came in at `since`."""
+        """Process a set-up or a session's handover that arrived at `since`."""
         now = self.loop.now()
         if not asked.at:
             self._carry(self.calls.ask(now, asked.wish, viewer, since))
@@ -207,7 +209,7 @@
             self.viewers.over(viewer, asked.wish.call, release(asked.wish.call, Cause.TEMPORARY_FAILURE))
 
     def _told_late(self, viewer: int, asked: Asked) -> None:
-        """Take a session that was over before it was told: by its host's word, or by its viewer's."""
+        """Reject the handover of a session that its host or its viewer has already ended."""
         call = asked.wish.call
         cause = self._ended_early[call]
         if cause is Cause.NORMAL_UNSPECIFIED:
@@ -217,10 +219,11 @@
             self.viewers.over(viewer, call, release(call, cause))
 
     def _keep_early(self, call: bytes, cause: Cause) -> None:
-        """Keep the end of a session that may be told yet; NORMAL_UNSPECIFIED where its viewer ended it.
+        """Keep the end of a session that may be handed over later; NORMAL_UNSPECIFIED if its viewer ended it.
 
-        Danger: hosts tell ends on any connection, so one of a session whose set-up is still unread may come
-        before it, and the session would be taken for one that stands, for ever. One told twice is over too.
+        Hosts report ends on any connection, so the end of a session can arrive before its handover is read,
+        and the session would then count as playing for ever. This also covers a handover that is repeated
+        after the session's end.
         """
         now = self.loop.now()
         if now <= (self._found_until or now) and len(self._ended_early) < MOST_EARLY:
@@ -229,7 +232,7 @@
             self._ended_early[call] = cause
 
     def left(self, call: bytes) -> None:
-        """Take it that nobody waits for the call any more."""
+        """Cancel the set-up or end the session, as its viewer no longer waits."""
         known = self.calls.by_id.get(call)
         if known is None or known.stage is Stage.STANDING:
             self._keep_early(call, Cause.NORMAL_UNSPECIFIED)
@@ -242,30 +245,30 @@
             self._carry(self.calls.ended(now, call, known.host, Evidence.WITHDRAWN))
 
     def stands(self, call: bytes) -> bool | None:
-        """Tell whether a call stands; None where it is not known."""
+        """Return whether the call's session is playing, or None if the call is unknown."""
         known = self.calls.by_id.get(call)
         return known.stage is Stage.STANDING if known is not None else None
 
     def ready(self) -> bool:
-        """Tell whether set-ups are welcome."""
+        """Return the readiness to accept set-ups. The first ready reply opens the handover window."""
         ready = not self.stopping and bool(self._entries)
         if ready and self._found_until is None:
             self._found_until = self.loop.now() + FOUND_WITHIN
         return ready
 
-    # What hosts say
+    # Callbacks of hosts
 
     def started(self, host: bytes, call: bytes, description: bytes) -> None:
-        """Take an answer."""
+        """Process a host's answer to an attempt."""
         self._carry(self.calls.started(self.loop.now(), call, host, description))
 
     def ended(self, host: bytes, call: bytes, evidence: Evidence, load: str) -> None:
-        """Take the end of an attempt without an answer."""
+        """Process the end of an attempt without an answer."""
         self.say("attempt", call=call.hex(), host=host.decode(), evidence=evidence.value)
         self._carry(self.calls.ended(self.loop.now(), call, host, evidence, self._load(load)))
 
     def over(self, host: bytes, call: bytes, cause: int, load: str) -> None:
-        """Take a release."""
+        """Process a host's release of a session."""
         outcome = _ENDS.get(cause, api.Outcome.RESET)
         known = self.calls.by_id.get(call)
         if known is None or known.stage is Stage.STANDING:
@@ -275,32 +278,31 @@
         self._carry(self.calls.over(self.loop.now(), call, host, outcome, self._load(load)))
 
     def noted(self, host: bytes, call: bytes, name: str, figure: str) -> None:
-        """Take a note."""
+        """Process a host's note about a session; ignores an unknown name or a malformed value."""
         kind, value = _NOTES.get(name), number_of(figure)
         if kind is not None and value is not None:
             self._carry(self.calls.noted(self.loop.now(), call, host, kind, value))
 
     def dead(self, host: bytes, when: int, why: str) -> None:
-        """Take it that the host's process was gone at `when`."""
+        """End the host's sessions that are older than `when`: its process has died."""
         commands = self.calls.host_dead(self.loop.now(), host, when)
         if commands:
             self.say("dead", host=host.decode(), why=why, sessions=len(commands))
         self._carry(commands)
 
     def wanted(self, host: bytes) -> bool:
-        """Tell whether sessions stand at the host."""
+        """Return whether sessions play at the host."""
         return self.calls.standing_at(host)
 
     def _load(self, text: str) -> tuple[float, ...]:
-        """Read `x0:12;x1:40` in the order of the settings; what is not told is not a number."""
+        """Parse a load report such as `x0:12;x1:40` in the order of the settings; missing values are NaN."""
         if not text:
             return ()
         told = dict(part.partition(":")[::2] for part in text.split(";"))
         values = (number_of(told.get(name, "")) for name in self.settings.load_fields)
         return tuple(float("nan") if value is None else value for value in values)
 
-    # What follows
-
+    # Commands
     def _carry(self, commands: list[cmd.Command]) -> None:
         for command in commands:
             _CARRY[type(command)](self, command)
@@ -354,7 +356,7 @@
 
 
 def run(path: str) -> int:
-    """Run until SIGTERM has done its work. Gives the exit code: 2 for a bad configuration."""
+    """Run until the shutdown after SIGTERM is complete. Return the exit code: 2 if the start fails."""
     say = line_writer(sys.stderr, time.time, MOST_LINES, gateway=os.environ.get("NODE_NAME", ""))
     loop = SelectorLoop(lambda text: say("error", text=text))
 
@@ -366,7 +368,7 @@
             if error.again:
                 loop.call_at(loop.now() + READ_AGAIN, reload)
 
-    # before the configuration is read: a new one, or the end, may be told meanwhile
+    # installed before the configuration is read, as either signal may arrive meanwhile
     loop.on_signal(reload, signal.SIGHUP)
     loop.on_signal(lambda: node.stop(), signal.SIGTERM, signal.SIGINT)
     try:
@@ -379,9 +381,9 @@
         print(f"mintmast: {error}", file=sys.stderr)
         return 2
 
-    # what stands still cannot answer in time, and nothing else would tell afterwards that it did: neither the
-    # machine's trouble nor this process's own leaves another line
-    loop.on_still = lambda took: say("stood still", ms=took / MS)
+    # a stalled process answers late, and no other log line would show afterwards that it stalled, whether the
+    # machine or the process itself was the cause
+    loop.on_still = lambda took: say("event loop stalled", ms=took / MS)
     node.on_stopped = loop.stop
     settle_memory()
     say("serving", hosts=len(node._entries), seq=node.changelog.seq)
--- a/mintmast/signalling/viewerconnection.py
+++ b/mintmast/signalling/viewerconnection.py
@@ -1,4 +1,4 @@
-"""One connection of a viewer's side: messages in, and what is told on it until it can have been heard."""
+"""One connection from viewers: parses their messages, and tracks sent ones until they can have arrived."""
 
 from __future__ import annotations
 
@@ -14,57 +14,58 @@
 if TYPE_CHECKING:
     from mintmast.signalling.viewers import Viewers
 
-# µs that a connection has for its first message, and a message for its last byte: such peers are owed a
-# close within 3 s
+# µs within which a connection's first message, and the last byte of each message, must arrive: the platform
+# requires a close of such connections within 3 s
 PATIENCE = 2_000_000
-# bytes that a set-up under way takes here and in the module, beside what it carries; and the part of the room
-# for all that one connection may take
+# bytes that a set-up in progress takes here and in the controller beside its parameters, and the share of the
+# memory for all set-ups that one connection may use
 SET_UP_BYTES, ONE_PART = 4096, 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Told:
-    """An answer, or the end of a session, that may not have been heard yet."""
+    """A sent answer or session end that may not have reached the viewer."""
 
-    end: int  # what the connection will have handed over once it is whole
+    end: int  # bytes that the connection has handed to the network once it is fully sent
     call: bytes
     frame: bytes
     is_end: bool
 
 
 class ViewerConnection(Handler):
-    """One connection of a viewer's side."""
+    """A connection from viewers; one connection carries the requests of many."""
 
     def __init__(self, viewers: Viewers, number: int) -> None:
         self.viewers, self.number = viewers, number
         self.stream: Stream | None = None
         self.peer = ""
-        self.open: dict[bytes, int] = {}  # set-ups that wait for their answer here, with the bytes they take
+        self.open: dict[bytes, int] = {}  # unanswered set-ups and the bytes that they take
         self.held = 0
         self.ended = 0
-        self.carried: set[bytes] = set()  # sessions that were answered here
-        self.good = False  # something was understood
-        self.served = False  # a session was answered here, or is known to stand
+        self.carried: set[bytes] = set()  # sessions answered on this connection
+        self.good = False  # a valid message was received
+        self.served = False  # a session was answered here, or was handed over on this connection
         self.over = False
         self.began = self.heard = viewers.loop.now()
         self.partial_since: int | None = None
         self.written = self._settled = 0
         self._reader = Reader()
-        self.fresh: dict[bytes, tuple[Asked, int]] = {}  # read and not asked yet, with when they came
+        # parsed set-ups not yet passed to the controller, with their arrival times
+        self.fresh: dict[bytes, tuple[Asked, int]] = {}
         self._told: deque[Told] = deque()
 
     def write(self, data: bytes) -> None:
-        """Write, where it is open."""
+        """Write if the connection is open."""
         if self.stream is not None:
             self.written += len(data)
             self.stream.write(data)
 
     def tell(self, call: bytes, frame: bytes, is_end: bool) -> None:
-        """Write an answer or a session's end, and keep it while the viewer cannot have heard it.
+        """Write an answer or a session's end, and track it while the viewer cannot have received it.
 
-        Danger: a viewer that closed before it was written, or whose connection takes nothing, never hears
-        it, and a session would play for nobody or count as standing for ever. Kept until the network has
-        taken it and the turn is over in which the viewer's close may lie unread.
+        A viewer that closed before the write, or whose connection accepts no bytes, never receives it: the
+        session would play without a viewer, or count as playing for ever. The message is tracked until the
+        network has taken it and the turn of the loop is over in which the viewer's close may be unread.
         """
         self.write(frame)
         if not self._told or self._told[-1].end <= self._settled:
@@ -72,27 +73,27 @@
         self._told.append(Told(self.written, call, frame, is_end))
 
     def _settle(self) -> None:
-        """Take it that the turn is over: a close that had come before what was told in it is read."""
+        """Mark the end of the turn: a close that arrived before this turn's messages has been read by now."""
         self._settled = self.written
         while self._told and self.stream is not None and self._told[0].end <= self.stream.handed_over:
             self._told.popleft()
 
     def unsent(self) -> bool:
-        """Tell whether something written was not taken by the network yet."""
+        """Return whether the network has not yet taken everything that was written."""
         return self.stream is not None and self.stream.handed_over < self.written
 
     def unread(self) -> bool:
-        """Tell whether something has come and was not read or not asked yet."""
+        """Return whether received data is unread, or parsed set-ups wait for the controller."""
         return bool(self.fresh) or (self.stream is not None and self.stream.unread())
 
     def opened(self, stream: Stream) -> None:
-        """Take it that the connection stands."""
+        """Start using the connection, or abort it if the limit of connections was reached."""
         self.stream, self.peer = stream, stream.peer[0]
-        if self.over:  # there was no room for it
+        if self.over:
             stream.abort()
 
     def received(self, data: bytes) -> None:
-        """Take bytes: all that is whole in them is read before any set-up is asked."""
+        """Process all complete messages, and only then queue their set-ups for the controller."""
         if self.over:
             return
         now = self.heard = self.viewers.loop.now()
@@ -102,19 +103,19 @@
             if self.over:
                 return
         if self._reader.broken:
-            self.condemn(Cause.PROTOCOL_ERROR, "bytes that are no message")
+            self.condemn(Cause.PROTOCOL_ERROR, "invalid message length or type")
             return
         self.partial_since = (self.partial_since or now) if self._reader.partial else None
         if self.fresh:
             self.viewers.queue(self)
 
     def ask_next(self) -> None:
-        """Ask the set-up that was read first: what is taken back before costs no host anything."""
+        """Submit the oldest queued set-up. One that was cancelled in the queue never reaches a host."""
         call, (asked, since) = next(iter(self.fresh.items()))
         del self.fresh[call]
         if self.viewers.events.stands(call) is None:
             self.viewers.events.asked(self.number, asked, since)
-        elif self.shut(call):  # another connection's, read after this one, was asked first
+        elif self.shut(call):  # another connection submitted a set-up with the same call reference first
             self._unfit(call, Cause.INVALID_CALL_REFERENCE, True)
 
     def _message(self, message: Message) -> None:
@@ -122,14 +123,14 @@
         if kind == Kind.SET_UP:
             self._set_up(message)
         elif message.fault is not None:
-            self.condemn(message.fault, "parameters beyond their message")
+            self.condemn(message.fault, "malformed parameters")
         elif kind == Kind.RELEASE:
             self._release(message.call)
         elif kind == Kind.TEST:
             self._good()
             self.write(messages.tested(message.call, self.viewers.events.ready()))
         elif kind not in (Kind.HEARD, Kind.PROGRESS):
-            self.condemn(Cause.PROTOCOL_ERROR, f"message of type {kind}")
+            self.condemn(Cause.PROTOCOL_ERROR, f"unexpected message of type {kind}")
 
     def _good(self) -> None:
         if not self.good:
@@ -138,8 +139,8 @@
 
     def _set_up(self, message: Message) -> None:
         call = message.call
-        if call in self.open:  # two set-ups under one number: one answer would be read for either
-            self.condemn(Cause.PROTOCOL_ERROR, f"second set-up {call.hex()}")
+        if call in self.open:  # an answer could not be told apart between two set-ups of one call reference
+            self.condemn(Cause.PROTOCOL_ERROR, f"duplicate set-up for call reference {call.hex()}")
             return
         asked = asking.read(message, self.viewers.terms)
         known = self.viewers.events.stands(call) is not None
@@ -162,17 +163,17 @@
             self.write(release(call, Cause.SWITCHING_EQUIPMENT_CONGESTION))
 
     def _unfit(self, call: bytes, cause: Cause, known: bool) -> None:
-        """Fail a set-up that cannot be one; `known`: its number is in use."""
+        """Fail an invalid set-up; `known` if its call reference is already in use."""
         self.write(release(call, cause))
         if known and self.served:
             self.viewers.expose(call)
         if not self.served:
-            self.condemn(Cause.PROTOCOL_ERROR, f"set-up {call.hex()}: {cause.name}")
+            self.condemn(Cause.PROTOCOL_ERROR, f"invalid set-up {call.hex()}: {cause.name}")
 
     def _admit(self, asked: Asked) -> bool:
-        """Take room for a set-up; False where there is none, and it never leaves.
+        """Reserve memory for a set-up; return False if there is none, and the set-up is refused.
 
-        Danger: set-ups of 16 KiB come faster than they are answered, and the machine has 32 MB.
+        Set-ups of 16 KiB can arrive faster than they are answered, and the process has 32 MB.
         """
         viewers, size = self.viewers, SET_UP_BYTES + sum(map(len, asked.wish.passed))
         if viewers.held + size > viewers.room or self.held + size > viewers.room * ONE_PART:
@@ -183,7 +184,7 @@
         return True
 
     def shut(self, call: bytes) -> bool:
-        """Take it that a set-up waits no more; False where it did not wait here."""
+        """Remove an open set-up and free its memory; return False if it is not open here."""
         size = self.open.pop(call, None)
         if size is None:
             return False
@@ -212,7 +213,7 @@
         return waiting
 
     def condemn(self, cause: Cause, why: str) -> None:
-        """Fail what is open and close: the peer does not speak the protocol, or not in its time."""
+        """Fail the open set-ups and close: the peer violated the protocol or its time limits."""
         if self.carried:
             viewers = self.viewers
             viewers.say(
@@ -223,7 +224,7 @@
         self.end()
 
     def end(self, finish: bool = False) -> None:
-        """Read no more, send what is queued, close; with `finish` the peer's close is waited for."""
+        """Stop reading, flush queued data and close; with `finish` only once the peer has closed."""
         if not self.over:
             self.over, self.ended = True, self.viewers.loop.now()
             if self.stream is not None and finish:
@@ -233,14 +234,16 @@
                 self.stream.close()
 
     def part(self, now: int) -> None:
-        """Break off where the peer does not take what is left for it."""
+        """Abort a closing connection whose peer has not taken the queued data in time."""
         if self.stream is not None and now - self.ended > PATIENCE:
             self.stream.abort()
 
     def closed(self, reason: Close) -> None:
-        """Take the end of the connection, and of what was open on it."""
+        """Report the end of the connection, the undelivered messages and the open set-ups."""
         if self.carried and not self.over:
-            self.viewers.say("viewer gone", peer=self.peer, how=reason.value, sessions=len(self.carried))
+            self.viewers.say(
+                "viewer disconnected", peer=self.peer, how=reason.value, sessions=len(self.carried)
+            )
         handed_over = self.stream.handed_over if self.stream is not None else 0
         unheard = [told for told in self._told if told.end > min(handed_over, self._settled)]
         self._told.clear()
--- a/mintmast/signalling/viewers.py
+++ b/mintmast/signalling/viewers.py
@@ -1,4 +1,4 @@
-"""Connections of viewers: set-ups in, their one answer out, and no time for those that only hold them."""
+"""All connections from viewers: each set-up gets one answer, and idle or stalled connections are closed."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 from mintmast.signalling.viewerconnection import PATIENCE, Told, ViewerConnection
 from mintmast.telemetry.lines import Say
 
-# µs between looks at connections
+# µs between checks of all connections
 LOOK = 250_000
-# bytes that may wait for a viewer, and that are read from one at a time: some hundred set-ups, which are only
-# read then, in under 10 ms
+# bytes that may be queued for a viewer, and bytes of one read: a read holds some hundred set-ups, which are
+# only parsed at that point, in less than 10 ms
 LIMITS = Limits(unsent=1 << 17, chunk=1 << 15)
-# set-ups that go to the module in one turn of the loop, each up to 1 ms of its time: between two turns what
-# has come is read, so that who has gone or taken back is known before more of its set-ups leave
+# set-ups that go to the controller in one turn of the loop, at up to 1 ms each. Received data is read between
+# two turns, so that a disconnect or a cancellation is known before more set-ups of that viewer are sent.
 ASKED_A_TURN = 8
-# releases that wait for a connection of their viewer's side, and how long (µs): then their time is over
+# messages queued until the next connection from their viewer's address, and µs after which they are dropped:
+# the platform does not expect them any later
 MOST_OWED, OWED_FOR = 1024, 8_000_000
 
 
 class ViewerEvents(Protocol):
-    """What viewers do."""
+    """Callbacks for events of viewers."""
 
     def asked(self, viewer: int, asked: Asked, since: int) -> None:
-        """Take a set-up that came in at `since`; its time counts from then."""
+        """Process a set-up that arrived at `since`; its timeout counts from then."""
 
     def left(self, call: bytes) -> None:
-        """Take it that nobody waits for the call any more."""
+        """Process a cancellation, a release or a disconnect: the viewer no longer waits for the call."""
 
     def stands(self, call: bytes) -> bool | None:
-        """Tell whether a call stands; None where it is not known."""
+        """Return whether the call's session is playing, or None if the call is unknown."""
 
     def ready(self) -> bool:
-        """Tell whether set-ups are welcome."""
+        """Return the readiness to accept set-ups, as reported to health checks."""
 
 
 class Viewers:
-    """All connections of viewers: at most `most`, their set-ups under way in at most `room` bytes."""
+    """All connections from viewers: at most `most`, with set-ups in progress of at most `room` bytes."""
 
     def __init__(
         self, loop: Loop, events: ViewerEvents, terms: Terms, most: int, room: int, say: Say
@@ -49,16 +50,15 @@
         self.most, self.room, self.held = most, room, 0
         self.connections: dict[int, ViewerConnection] = {}
         self._count = 0
-        self._peers: dict[bytes, str] = {}  # of sessions whose connection is gone: the viewer's side
+        self._peers: dict[bytes, str] = {}  # peer address of each session whose connection was closed
         self._owed: deque[tuple[int, str, bytes]] = deque(maxlen=MOST_OWED)
-        self._asking: deque[ViewerConnection] = (
-            deque()
-        )  # connections with set-ups that were read and not asked yet
+        # connections with set-ups that are not yet passed to the controller
+        self._asking: deque[ViewerConnection] = deque()
         self._ask_next: Timer | None = None
         loop.call_at(loop.now() + LOOK, self._look)
 
     def accept(self) -> Handler:
-        """Make the handler of a new connection."""
+        """Create the handler of a new connection."""
         self._count += 1
         connection = ViewerConnection(self, self._count)
         connection.over = len(self.connections) >= self.most and not self._make_room()
@@ -66,30 +66,31 @@
         return connection
 
     def _make_room(self) -> bool:
-        """Close the connection that has been quiet for longest of those that carry nothing; False: none does.
+        """Close the longest idle connection without set-ups and sessions; return False if there is none.
 
-        Danger: peers that hold hundreds of connections, each with a set-up open, would push out one on
-        which sessions stand and that has no set-up open just now; nobody could be told of their ends.
+        Connections with sessions are exempt even if no set-up is open on them: otherwise peers with hundreds
+        of connections, each with an open set-up, could displace one with sessions, whose ends could then not
+        be reported.
         """
         connections = [e for e in self.connections.values() if not (e.over or e.open or e.carried)]
         for connection in sorted(connections, key=lambda e: (e.good, e.heard)):
-            if not connection.unread():  # else a set-up may lie there, which a close would lose
+            if not connection.unread():  # unread data may hold a set-up, which a close would lose
                 connection.end()
                 return True
         return False
 
-    # Set-ups on their way to the module
+    # Set-ups
 
     def queue(self, connection: ViewerConnection) -> None:
-        """Take it that a connection has set-ups to be asked: in this turn, once all that came is read."""
+        """Queue a connection whose set-ups are to be submitted once all received data is read."""
         if connection not in self._asking:
             self._asking.append(connection)
         if self._ask_next is None:
             self._ask_next = self.loop.call_soon(self._ask_some)
 
     def _ask_some(self) -> None:
-        """Ask a few, one a connection and round again, so that a flood on one holds up no other."""
-        # not before the next turn; set first, as a fault met with one set-up must not keep the others waiting
+        """Submit a few set-ups, round robin over the connections, so that a flood on one delays no other."""
+        # scheduled first, so that an exception for one set-up does not stop the others
         self._ask_next = self.loop.call_at(self.loop.now() + 1, self._ask_some)
         for _ in range(ASKED_A_TURN):
             while self._asking and not self._asking[0].fresh:
@@ -105,7 +106,7 @@
     # Answers
 
     def answer(self, viewer: int, call: bytes, description: bytes) -> bool:
-        """Pass on a host's answer; False where the viewer's connection is gone."""
+        """Send a host's answer to the viewer; return False if the viewer no longer waits for it."""
         connection = self.connections.get(viewer)
         if connection is None or not connection.shut(call):
             return False
@@ -115,32 +116,34 @@
         return True
 
     def expose(self, call: bytes) -> None:
-        """Fail a set-up under a number that a connection with answered sessions uses too.
+        """Fail a set-up whose call reference a connection with answered sessions uses too.
 
-        Danger: who copies the number of a set-up that is on its way may be read first. Of the two, the one
-        on a connection that was never answered is no viewer's; neither is set up, as nobody can say what
-        the other's answer would be.
+        A peer that copies the call reference of another's set-up may be read first. Of the two connections,
+        the one that never had a session is taken for the impostor's and closed. Neither set-up succeeds, as
+        an answer could not be attributed to one of them.
         """
         for connection in self.connections.values():
             if call in connection.open and not connection.served:
-                connection.condemn(Cause.PROTOCOL_ERROR, f"set-up {call.hex()}: a number taken from another")
+                connection.condemn(
+                    Cause.PROTOCOL_ERROR, f"set-up {call.hex()} uses the call reference of another viewer"
+                )
                 return
 
     def end(self, viewer: int, call: bytes, cause: Cause, stay_away: int = 0) -> None:
-        """Refuse or fail a set-up; `stay_away` in ms."""
+        """Refuse or fail a set-up; `stay_away` is the retry advice in ms, 0 for none."""
         connection = self.connections.get(viewer)
         if connection is not None and connection.shut(call):
             connection.write(release(call, cause, stay_away))
 
     def over(self, viewer: int, call: bytes, frame: bytes) -> None:
-        """Tell the end of a session on its connection, else on another of the same side, else on the next."""
+        """Report a session's end on its connection, or on another or the next one from the same address."""
         connection = self.connections.get(viewer)
         if connection is not None and not connection.over:
             connection.carried.discard(call)
             connection.tell(call, frame, True)
             return
         peer = self._peers.pop(call, None)
-        if connection is not None and call in connection.carried:  # it is being closed and takes nothing more
+        if connection is not None and call in connection.carried:  # closing: it accepts no more messages
             connection.carried.discard(call)
             peer = connection.peer
         if peer is not None:
@@ -154,10 +157,10 @@
             self._owed.append((self.loop.now() + OWED_FOR, peer, frame))
 
     def gone(self, connection: ViewerConnection, unheard: list[Told]) -> None:
-        """Forget a connection, but not whose side the sessions are on that were answered there.
+        """Remove a connection, and keep the peer address of the sessions that were answered on it.
 
-        What was told there and cannot have been heard: of an answer, the viewer is gone, so its session
-        ends; the end of a session is told elsewhere.
+        If an answer was not delivered, the viewer is gone and its session is ended. An undelivered session
+        end is sent on another connection.
         """
         self.connections.pop(connection.number, None)
         for told in unheard:
@@ -170,26 +173,26 @@
             self._peers[call] = connection.peer
 
     def forget(self, viewer: int, call: bytes) -> None:
-        """Forget a session that ended without a word to its viewer, who was answered on that connection."""
+        """Remove a session that ended without a message to its viewer, who was answered on `viewer`."""
         self._peers.pop(call, None)
         connection = self.connections.get(viewer)
         if connection is not None:
             connection.carried.discard(call)
 
     def finish(self) -> None:
-        """Read no more from anybody; close once all that is queued was taken."""
+        """Stop reading, and close each connection once its queued data is sent and its peer has closed."""
         for connection in list(self.connections.values()):
             connection.end(finish=True)
 
     def busy(self) -> bool:
-        """Tell whether a set-up is open, or something not written or not read yet that may be one."""
+        """Return whether a set-up is open, an answer is unsent, or unread data may hold a set-up."""
         connections = [connection for connection in self.connections.values() if not connection.over]
         return any(
             connection.open or connection.unsent() or connection.unread() for connection in connections
         )
 
     def pay(self, connection: ViewerConnection) -> None:
-        """Send what waits for a connection of this side."""
+        """Send the messages that were queued for a connection from this peer's address."""
         now, kept = self.loop.now(), []
         for until, peer, frame in self._owed:
             if peer == connection.peer and now < until:
@@ -209,4 +212,4 @@
             if late or (
                 not connection.good and now - connection.began > PATIENCE and not connection.unread()
             ):
-                connection.condemn(Cause.TEMPORARY_FAILURE, "no whole message in its time")
+                connection.condemn(Cause.TEMPORARY_FAILURE, "no complete message in time")
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -171,7 +171,7 @@
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.6)
         process.send_signal(signal.SIGCONT)
-        said = until(process, "stood still")
+        said = until(process, "event loop stalled")
         assert 250 < said["ms"] < 20_000
         process.send_signal(signal.SIGTERM)
         rest = [json.loads(line) for line in process.stderr]
