--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -140,8 +140,8 @@
     def feed(self, data: bytes) -> list[Message]:
         """Decode received bytes and return the messages that they complete.
 
-        Never buffers more than one message of the largest length, whatever length a peer announces. Detects an
-        invalid length or type as soon as its bytes arrive.
+        Never buffers more than one message of the largest length, whatever length a peer announces. An
+        invalid length or type is detected as soon as its bytes arrive.
         """
         if self.broken:
             return []
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,4 +1,4 @@
-"""A small platform in memory: hosts, a change log, a gateway and viewers that speak the set-up messages."""
+"""Test harness: media hosts, a change log, a gateway and viewers on an in-memory network."""
 
 import msgspec
 
@@ -30,7 +30,7 @@
 
 
 class Peer(Handler):
-    """One end of a connection that keeps what it reads; `on` hears each message."""
+    """One end of a connection; records the messages it receives and passes each to `on`."""
 
     def __init__(self, on=None):
         self.on, self.stream, self.closed_by = on, None, None
@@ -53,7 +53,7 @@
 
 
 class Host:
-    """A media host: `script` says what becomes of a set-up, `ends` keeps its connections."""
+    """A media host; `script` handles each set-up, `ends` lists its connections."""
 
     def __init__(self, platform, name, script=None):
         self.platform, self.name, self.script = platform, name, script or play
@@ -76,7 +76,7 @@
         end.stream.write(release(call, cause))
 
     def end(self, call, cause=Cause.NORMAL_CLEARING):
-        """End a session: told on the connection of its set-up, and on the next one opened."""
+        """Release a session on the connection of its set-up, and again on the next connection that opens."""
         self.again.append((call, cause))
         home = self.home[call]
         self.tell(home if home.closed_by is None else self.live()[-1], call, cause)
@@ -108,7 +108,7 @@
 
 
 class Log(Handler):
-    """The change log: sends what it is told to, and keeps what it was asked."""
+    """The change log server; records the `Last-Event-ID` of each request."""
 
     def __init__(self, platform):
         self.platform, self.asked, self.streams, self.events = platform, [], [], []
@@ -158,7 +158,7 @@
 
 
 class Platform:
-    """One gateway `gw`, hosts by name, viewers."""
+    """A gateway `gw` with hosts by name and viewers."""
 
     def __init__(self, *names, seed=1, script=None, sockets=256, settings=SETTINGS):
         self.world = World(seed)
@@ -191,7 +191,7 @@
         return end
 
     def ask(self, end, service="free", ms=3000, **change):
-        """Send a set-up and give its id."""
+        """Send a set-up and return its call reference."""
         self.count += 1
         call = self.count.to_bytes(8)
         end.stream.write(set_up(call, service, ms, **change))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""The table of calls explored: doubled, late and crossed messages, and what is owed at the end."""
+"""Property tests of the call state machine: duplicate, late and crossing messages, and complete clean-up."""
 
 from helpers import T0, S, box, fleet
 from hypothesis import given, settings
@@ -22,22 +22,22 @@
 
 
 class World:
-    """What hosts and viewers believe, kept from the commands alone."""
+    """Model of hosts and viewers, updated from the returned commands alone."""
 
     def __init__(self, may_cancel):
         self.calls = Calls(fleet(4, may_cancel=may_cancel))
         self.now, self.number = T0, 0
         self.paid, self.answered, self.gone, self.ran = {}, {}, set(), set()
-        self.out = {}  # call: host of its attempt
-        self.standing = {}  # call: host, as hosts believe
+        self.out = {}  # host of the attempt in progress, by call
+        self.standing = {}  # host that plays the session, by call
 
     def take(self, commands):
         for command in commands:
             match command:
                 case c.SendSetUp(call, host, _, _, until, passed):
-                    assert call not in self.out, "two attempts out"
-                    assert call not in self.answered, "sent after its answer"
-                    assert not (self.paid[call] and call in self.ran), "paid set-up sent again"
+                    assert call not in self.out, "two attempts in progress for one call"
+                    assert call not in self.answered, "attempt sent after the answer"
+                    assert not (self.paid[call] and call in self.ran), "paid set-up sent again after it ran"
                     assert self.now <= until and passed
                     self.out[call] = host
                 case c.CallOff(call, host):
@@ -51,7 +51,9 @@
                 case c.Refuse(call) | c.Fail(call):
                     assert call not in self.answered and call not in self.gone
                     refused = isinstance(command, c.Refuse)
-                    assert not (refused and self.paid[call] and call in self.ran), "refused, may have run"
+                    assert not (refused and self.paid[call] and call in self.ran), (
+                        "refused after it may have run"
+                    )
                     self.answered[call] = "no"
                 case c.Release(call):
                     assert self.answered[call] == "plays"
@@ -100,14 +102,14 @@
             self.take(self.calls.list(self.now, news))
 
     def settle(self):
-        """End all that is out or stands, as hosts would in the end."""
+        """End all attempts and sessions, as their hosts eventually would."""
         for _ in range(10):
             for call, host in list(self.out.items()):
                 del self.out[call]
                 self.now += 1000
                 self.take(self.calls.ended(self.now, call, host, Evidence.FULL))
         for call, host in list(self.standing.items()):
-            assert call in self.calls.by_id, "left standing"
+            assert call in self.calls.by_id, "session still plays at its host without a call"
             self.take(self.calls.over(self.now, call, host, Outcome.SERVED))
 
 
@@ -131,9 +133,9 @@
     for (stage, seen), step in TABLE.items():
         assert (step.to is None) == (step.tell is Tell.CLOSED), (stage, seen)
         if stage is Stage.STANDING:
-            assert step.owed, "the side that does not know yet must hear of it"
+            assert step.owed, "a session ended without a message to the other side"
         if seen is Seen.STARTED:
-            assert (Owed.ANSWER in step.owed) != (Owed.CUT in step.owed), "it plays or is cut"
+            assert (Owed.ANSWER in step.owed) != (Owed.CUT in step.owed), "needs an answer or a release"
 
 
 def test_a_session_of_before_the_hosts_new_start_is_over_and_one_of_after_it_is_not():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Crossings on the platform, in memory: what comes between two lines that belong together."""
+"""Race conditions of the gateway on an in-memory network: messages and closes that cross on the way."""
 
 import json
 
@@ -42,7 +42,7 @@
         assert platform.hosts["a"].set_ups[-1][1].params[Param.CLASS] == name.encode()
 
 
-# The viewer is gone
+# Disconnected viewers
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "gives up"])
@@ -80,11 +80,11 @@
     assert not platform.node.calls.by_id and not platform.node.calls.module.sessions
 
 
-# What is told on connections that end
+# Messages on connections that close
 
 
 class Narrow:
-    """A stream that takes so many bytes and no more."""
+    """A stream whose network accepts `takes` bytes and no more."""
 
     peer = ("front", 1)
 
@@ -107,7 +107,7 @@
 
 
 def line_with_session(platform, takes=1 << 20):
-    """Give a connection on which a session was asked and answered."""
+    """Return a connection, and its stream, on which a session was set up."""
     line, stream = platform.node.viewers.accept(), Narrow(takes)
     line.opened(stream)
     line.received(set_up(b"sessions"))
@@ -182,11 +182,11 @@
     assert host.cuts == [call] and not platform.node.hosts.pools[b"id-a"].cuts
 
 
-# Sessions handed over
+# Session handover
 
 
 def ready(platform):
-    """Pass the first test, and have one session told so that the gateway opens a connection to the host."""
+    """Pass the first health check, and hand over one session so that the gateway connects to its host."""
     end = platform.viewer()
     end.stream.write(encode(Kind.TEST, bytes(8), [(Param.CAUSE, b"\0")]))
     end.stream.write(told(platform, b"\1" * 8))
@@ -240,12 +240,15 @@
     assert not platform.node._ended_early
 
 
-# Hosts that move
+# Address changes of hosts
 
 
 @pytest.mark.parametrize("seen", range(0, 60, 4))
 def test_a_set_up_never_goes_to_the_address_that_its_host_has_left(seen):
-    """The move is told while the connection comes up, while its test is out, and at the instants between."""
+    """The address changes during the connect, during the health check, and at instants between.
+
+    Guards against a set-up that is written to the old address, which may be another host's by then.
+    """
     platform = Platform("a", "z")
     platform.log.tell(news_of(news(2, entry("z", "Gone"))))
     platform.run(0.05)
@@ -257,7 +260,7 @@
     if old.set_ups or b"\0" * 7 + b"\1" not in platform.node.calls.by_id:
         return
     under_way = platform.node.hosts.pools[b"id-a"].out[call]
-    if under_way.end is not None:  # it has left for the old address before the move was told
+    if under_way.end is not None:  # sent to the old address before the change was known
         return
     platform.log.tell(news_of(news(3, entry("a", addr="z:5060"))))
     platform.run(1)
@@ -268,7 +271,7 @@
 @pytest.mark.parametrize("gone_first", [True, False])
 @pytest.mark.parametrize("seen", range(0, 40, 4))
 def test_a_set_up_for_a_host_that_was_replaced_does_not_go_to_its_successor(seen, gone_first):
-    """The successor does not hold the title; its start may be told before the other's end."""
+    """Another host, which does not hold the title, takes over the address; its start may be listed first."""
     platform = Platform("a")
     for way in (("gw", "a"), ("a", "gw")):
         platform.world.slow[way] = 10 * MS
@@ -289,7 +292,7 @@
     return f"id: {event['seq']}\ndata: {json.dumps(event)}\n\n".encode()
 
 
-# The change log
+# Change log
 
 
 def test_a_log_whose_numbers_start_again_is_heard_and_repeats_of_old_lists_are_not():
@@ -309,7 +312,7 @@
     assert set(listed) == {b"id-d", b"id-e"} and platform.node.changelog.seq == 2
 
 
-# Descriptors
+# File descriptors
 
 
 def test_connections_to_hosts_nobody_needs_go_for_others_when_there_are_no_more():
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -1,6 +1,7 @@
-"""Crossings on the platform over loopback sockets: peers that stop at a chosen byte or turn of the loop.
+"""Race conditions of the gateway over loopback sockets, at a chosen byte or turn of the event loop.
 
-The gateway's loop is turned by the test, so what lies in the kernel when it turns is known; nothing sleeps.
+The tests run the gateway's loop turn by turn, so that they know what the kernel has buffered at each turn.
+Nothing sleeps.
 """
 
 import errno
@@ -19,11 +20,11 @@
 from mintmast.signalling.node import Config, Node
 from mintmast.telemetry.lines import line_writer
 
-DEADLINE = 20_000_000  # µs; a test that sees nothing until then has failed
+DEADLINE = 20_000_000  # µs until an awaited condition fails the test
 
 
 class Bench:
-    """A gateway on a real loop, one host and the change log as sockets that the test plays."""
+    """A gateway on a real event loop; the test acts as its host and change log through sockets."""
 
     def __init__(self, sockets=256):
         self.loop, self.said = SelectorLoop(self.fault), []
@@ -55,16 +56,16 @@
             self.loop.turn(self.loop.now())
 
     def until(self, seen):
-        """Turn the loop until something is seen, and give it."""
+        """Run the loop until `seen` returns a true value, and return that."""
         late = self.loop.now() + DEADLINE
         while not (found := seen()):
-            assert self.loop.now() < late, "not seen"
+            assert self.loop.now() < late, "condition not met in time"
             self.loop.turn(self.loop.now() + 5000)
         assert not self.faults
         return found
 
     def read(self, sock):
-        """Give the messages that lie at a socket; None for its end."""
+        """Return the messages that a socket has received, with None for its end of stream."""
         reader = self.readers.setdefault(sock, Reader())
         sock.setblocking(False)
         try:
@@ -74,13 +75,13 @@
         return reader.feed(data) + ([] if data else [None])
 
     def answers(self, sock, count):
-        """Read until so many messages have come."""
+        """Read until `count` messages have arrived."""
         found = []
         self.until(lambda: found.extend(self.read(sock)) or len(found) >= count)
         return found
 
     def accepted(self, listener=None):
-        """Give the gateway's next connection to the host, or to another listener."""
+        """Return the gateway's next connection to the host, or to another listener."""
         listener = listener or self.host
         listener.setblocking(False)
 
@@ -93,7 +94,7 @@
         return self.until(come)
 
     def set_up_at_host(self, viewer, call):
-        """Bring a set-up to the host, and give the connection on which it lies."""
+        """Send a set-up until the host has received it, and return the host's connection."""
         viewer.sendall(set_up(call, "paid"))
         line = self.accepted()
         assert self.answers(line, 1)[0].kind == Kind.TEST
@@ -183,7 +184,7 @@
     viewer.sendall(messages.test(bytes(8)))
     bench.answers(viewer, 1)
     bench.turn(3)
-    newcomer = bench.viewer()  # heard of first: it came before the set-up
+    newcomer = bench.viewer()  # accepted before the set-up is read
     viewer.sendall(set_up(numbered(7)))
     found = bench.answers(viewer, 1)
     assert found[0] is not None and found[0].kind in (Kind.RELEASE, Kind.ANSWER)
@@ -201,12 +202,12 @@
     bench.until(lambda: numbered(7) in bench.node.calls.by_id)
 
 
-# Descriptors
+# File descriptors
 
 
 @pytest.fixture
 def no_descriptors():
-    """Leave the process no descriptor until called again."""
+    """Return a function that uses up all file descriptors and one that frees them again."""
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     held = []
 
@@ -280,7 +281,7 @@
     bench.log.close()
     idle = [bench.viewer() for _ in range(30)]
     for client in idle:
-        client.sendall(messages.test(bytes(8)))  # understood, and never heard of again
+        client.sendall(messages.test(bytes(8)))  # a valid message, and nothing after it
     bench.until(lambda: sum(each.good for each in bench.node.viewers.connections.values()) == 30)
     idle += [bench.viewer() for _ in range(100)]
     bench.turn(20)
@@ -376,7 +377,7 @@
         loop.turn(loop.now() + 5000)
 
 
-# The log
+# Log output
 
 
 def test_a_log_that_takes_no_lines_does_no_harm():
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -1,6 +1,7 @@
-"""What the platform's fleet days gained and its page does not name, in memory: see docs/design/crossings.md.
+"""Reloads, change log outages, fragmented messages and hosts that never answer, on an in-memory network.
 
-Each test tells the change of the code under which it was seen failing.
+The platform's load tests exercise these cases without naming them; see docs/design/crossings.md. Each
+docstring names a change of the code with which the test was verified to fail.
 """
 
 import msgspec
@@ -35,22 +36,22 @@
 
 
 def home_of(platform, call):
-    """Give the host at which a call was set up."""
+    """Return the host at which a call was set up."""
     return next(host for host in platform.hosts.values() if call in host.home)
 
 
-# A reload while hosts drain
+# Reload while hosts drain
 
 
 class OtherLog(Log):
-    """The change log at the address that a new configuration names."""
+    """A change log at the address in the new configuration."""
 
     def __init__(self, platform):
         self.platform, self.asked, self.streams, self.events, self.quiet = platform, [], [], [], False
         platform.world.node("log2").listen("log2", 2379, lambda: _Asker(self))
 
 
-KNOWN = {  # what the new configuration knows, and the number from which the new log is asked
+KNOWN = {  # known events of the new configuration, and the sequence number requested from the new log
     "as at the start": ((1, news(1, entry("a"), entry("b"), entry("c"), full=True)), "2"),
     "nothing": ((0,), "2"),
     "more than was heard": ((3, news(2, entry("a", "Terminating")), news(3, entry("b", "Terminating"))), "3"),
@@ -59,7 +60,7 @@
 
 @pytest.mark.parametrize("what", KNOWN)
 def test_a_reload_while_hosts_drain_forgets_no_drain_and_ends_nothing_there(what):
-    """Fails where `ChangeLog.event` takes numbers that were heard again: the drains are undone."""
+    """Fails if the change log processes duplicate sequence numbers, which undoes the drains."""
     (seq, *results), asked = KNOWN[what]
     platform = Platform("a", "b", "c")
     end, other = platform.viewer(), OtherLog(platform)
@@ -80,8 +81,8 @@
     platform.run(0.05)
     new = [platform.ask(end) for _ in range(12)]
     platform.run(0.6)
-    assert answered_by(end, new) == {"c"}  # draining since before the reload, and told after it
-    assert answered_by(end, out) == {"a", "b", "c"}  # out at that time, and at the host to its answer
+    assert answered_by(end, new) == {"c"}  # a drains since before the reload, b since after it
+    assert answered_by(end, out) == {"a", "b", "c"}  # attempts in progress at the reload are still answered
     assert len(platform.node.calls.by_id) == 36 and not any(host.cuts for host in platform.hosts.values())
     for call in stood:
         home_of(platform, call).end(call)
@@ -89,12 +90,12 @@
     assert all([m.cause for m in end.of(call, Kind.RELEASE)] == [Cause.NORMAL_CLEARING] for call in stood)
 
 
-# A watch that falls silent, and a whole list in the middle of it
+# Silent change log, and full lists
 
 
 @pytest.mark.parametrize("silences", [1, 3])
 def test_a_log_that_falls_silent_after_a_whole_list_is_asked_again_and_nothing_is_lost(silences):
-    """Fails where `ChangeLog._look` does not ask again (SILENT of 60 s): the change is never heard."""
+    """Fails with a silence timeout of 60 s: the client does not reconnect, and misses the change."""
     platform = Platform("a", "b", "c")
     log, end = platform.log, platform.viewer()
     call = platform.ask(end, figures="home:0;copies:4;top:0")
@@ -107,12 +108,12 @@
         during = [platform.ask(end) for _ in range(8)]
         platform.run(1.5)
         assert answered_by(end, during) == {"a", "b"}
-        assert log.asked == ["1"] + ["2"] * (number + 1)  # the connection stood, and one is kept
+        assert log.asked == ["1"] + ["2"] * (number + 1)  # one reconnection for each silence
         assert len(log.streams) == 1
-    log.tell(whole)  # told once more, as it may be on a new connection
+    log.tell(whole)  # a duplicate, as a new connection may bring it
     log.tell(news_of(news(3, entry("a", "Terminating"))))
     platform.run(0.05)
-    assert silences > 1 or platform.now() - begin < 4 * SECOND  # by then it counts as told
+    assert silences > 1 or platform.now() - begin < 4 * SECOND  # the platform allows a change 4 s
     after = [platform.ask(end) for _ in range(8)]
     platform.run(0.1)
     assert answered_by(end, after) == {"b"} and not end.of(call, Kind.RELEASE)
@@ -120,8 +121,8 @@
 
 @pytest.mark.parametrize("successor", [False, True])
 def test_a_whole_list_in_place_of_a_delta_takes_away_what_is_not_in_it_and_nothing_else(successor):
-    """Fails where a whole list is taken for a delta, where `Node._news` drops no unlisted host, and where it
-    takes each listed host for a new process."""
+    """Fails if a full list is applied as a delta, if hosts missing from it are kept, and if each listed host
+    is treated as restarted."""
     platform = Platform("a", "b", "d")
     log, end, hosts = platform.log, platform.viewer(), platform.hosts
     calls = [platform.ask(end) for _ in range(15)]
@@ -130,14 +131,14 @@
     log.tell(news_of(news(2, entry("a"), entry("b"))))
     listed = [entry("a"), entry("d", "Terminating")]
     if successor:
-        listed.insert(0, entry("n", addr="b:5060"))  # at the address of the one that is not listed any more
+        listed.insert(0, entry("n", addr="b:5060"))  # at the address of b, which is no longer listed
     log.tell(news_of(news(3, *listed, full=True)))
     platform.run(0.3)
     node, ids = platform.node, {each["id"].encode() for each in listed}
     assert set(node._entries) == ids and node.changelog.seq == 3 and log.asked == ["1"]
     kept = [call for call in calls if home_of(platform, call).name != "b"]
     gone = [call for call in calls if call not in kept]
-    # a host that is gone keeps its sessions as long as it is reached under its address
+    # a host that left the list keeps its sessions while it is reachable at its address
     assert all(bool(end.of(call, Kind.RELEASE)) == successor for call in gone)
     assert not any(end.of(call, Kind.RELEASE) for call in kept) and not (hosts["a"].cuts or hosts["d"].cuts)
     before = {name: len(host.set_ups) for name, host in hosts.items()}
@@ -150,16 +151,16 @@
         home_of(platform, call).end(call)
     platform.run(0.5)
     assert all(len(end.of(call, Kind.RELEASE)) == 1 for call in calls)
-    log.tell(news_of(news(4, entry("d"))))  # the next change is one again
-    platform.run(6)  # spare connections go after 4 s
+    log.tell(news_of(news(4, entry("d"))))  # a delta again
+    platform.run(6)  # spare connections are closed after 4 s
     assert set(node._entries) == ids and set(node.hosts.pools) == ids
 
 
-# Requests and answers in pieces
+# Fragmented messages
 
 
 class InPieces:
-    """A stream that passes on what is written a byte at a time, `step` µs apart."""
+    """A stream that sends one byte every `step` µs."""
 
     def __init__(self, world, stream, step):
         self.world, self.stream, self.step, self.next = world, stream, step, 0
@@ -171,7 +172,7 @@
 
 
 def test_set_ups_and_all_a_host_says_may_come_byte_by_byte():
-    """Fails where `Reader.feed` keeps no rest, and where a request's time counts from its connection's."""
+    """Fails if the decoder keeps no incomplete message, and if a set-up's timeout counts from its connect."""
     platform = Platform("a", settings=SETTINGS | {"caps": SETTINGS["caps"] | {"connectTimeout": SECOND}})
     host, take = platform.hosts["a"], platform.hosts["a"].take
 
@@ -186,7 +187,7 @@
         end.stream = InPieces(platform.world, end.stream, 18 * MS)
     calls = [platform.ask(end, "paid", ms=2000) for end in ends]
     last = ends[0].stream.next
-    assert last - platform.now() > 1500 * MS  # and less than a message may take
+    assert last - platform.now() > 1500 * MS  # and below the time limit for one message
     platform.world.run(last - MS)
     assert not host.set_ups
     platform.run(0.6)
@@ -202,7 +203,7 @@
 
 
 def test_bytes_that_a_real_loop_reads_one_by_one_make_the_same_set_up_and_answer():
-    """Fails where `Reader.feed` keeps no rest."""
+    """Fails if the decoder keeps no incomplete message."""
     bench, call = Bench(), numbered(7)
     viewer = bench.viewer()
 
@@ -221,11 +222,11 @@
     assert [m.kind for m in bench.answers(viewer, 1)] == [Kind.ANSWER]
 
 
-# Requests that nobody answered
+# Unanswered set-ups
 
 
 class Count:
-    """Every set-up that was sent, and its final answers: what the platform counts."""
+    """Counts set-ups and their answers as the platform does."""
 
     def __init__(self, platform):
         self.platform, self.asked, self.due, self.came, self.stands = platform, {}, {}, {}, set()
@@ -238,7 +239,7 @@
     def ask(self, end, service, ms):
         call = self.platform.ask(end, service, ms)
         self.asked[call] = self.platform.now()
-        self.due[call] = self.asked[call] + (ms + 50) * MS  # the platform's slack
+        self.due[call] = self.asked[call] + (ms + 50) * MS  # the platform's tolerance is 50 ms
         self.came[call] = []
         return call
 
@@ -263,7 +264,7 @@
 
 
 def at_deadline(ms):
-    """Answer so long after the time that the set-up tells."""
+    """Answer `ms` after the set-up's timeout."""
 
     def answer(host, end, message):
         later((int(message.params[Param.PATIENCE]) + ms) / 1000)(host, end, message)
@@ -289,8 +290,8 @@
 @pytest.mark.parametrize("what", HOSTS)
 @pytest.mark.parametrize("service", ["paid", "free"])
 def test_every_set_up_has_one_answer_in_its_time_whatever_the_host_does(service, what):
-    """Fails where `MediaHosts.set_up` sets no timer for `late` or none for `unconnected`, or a connection's
-    end is not told of its set-up: what has ended is answered long before its deadline."""
+    """Fails without the deadline timer, without the connect timer, and if the end of a connection does not
+    end its set-up: a set-up that has failed is answered long before its deadline."""
     platform = Platform("a", "b", script=HOSTS[what])
     if HOSTS[what] is None:
         for host in platform.hosts.values():
@@ -301,7 +302,7 @@
         for end in ends:
             for ms in (150, 400, 1200, 2500):
                 count.ask(end, service, ms)
-        platform.ask(left, service)  # owed nothing once its connection is gone
+        platform.ask(left, service)  # needs no answer once its connection is closed
         platform.run(0.08)
     left.stream.close()
     platform.run(4)
@@ -314,7 +315,7 @@
 
 
 def test_set_ups_that_nobody_answers_are_counted():
-    """The count above sees what is missing: of a gateway that dies, and of answers that come too late."""
+    """The counter above detects missing answers of a dead gateway, late answers and duplicates."""
     platform = Platform("a", script=later(0.2))
     count = Count(platform)
     end = count.viewer()
@@ -325,6 +326,6 @@
     platform.gateway.kill()
     platform.run(1)
     assert count.unanswered() == lost and count.came[good]
-    count.hear(end, messages.Message(Kind.RELEASE, lost[0], {}))  # too late
+    count.hear(end, messages.Message(Kind.RELEASE, lost[0], {}))  # after its deadline
     count.hear(end, messages.Message(Kind.ANSWER, good, {}))
     assert count.unanswered() == lost and count.doubled() == [good]
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -1,6 +1,6 @@
-"""Processes that die, start and stand idle: SIGKILL behind an accept, thirty at once, an idle one.
+"""Gateways that are killed after an accept, that start thirty at once, and that are idle.
 
-Each test tells the change of the code under which it was seen failing.
+Each docstring names a change of the code with which the test was verified to fail.
 """
 
 import os
@@ -24,11 +24,11 @@
 from mintmast.signalling.messages import Kind, Reader, release
 from mintmast.signalling.node import Config, Node
 
-SOON = 20_000_000  # µs; a test that sees nothing until then has failed
+SOON = 20_000_000  # µs until an awaited condition fails the test
 
 
 class Host(Handler):
-    """The host's end of a connection: keeps what it is asked, and plays where the test says so."""
+    """The host's end of a connection; records set-ups, and answers them if `plays` is set."""
 
     name, plays = "a", False
 
@@ -52,7 +52,7 @@
 
 
 class Viewer(Handler):
-    """A viewer's connection that sends some bytes and keeps what it reads."""
+    """A viewer's connection that sends `data` and records the messages it receives."""
 
     def __init__(self, loop, port, data):
         self.data, self.read, self.reader = data, [], Reader()
@@ -72,8 +72,8 @@
 
 @pytest.mark.parametrize("kill", ["at the accept", "in the backlog", "unanswered", "once it stands"])
 def test_a_process_that_is_killed_behind_an_accept_is_followed_by_a_ready_one(tmp_path, monkeypatch, kill):
-    """Fails without SO_REUSEADDR (the next cannot listen), where `ready` waits for a word of the log, and
-    where `Node.asked` takes a session that plays already for a new one: it is set up twice."""
+    """Fails without SO_REUSEADDR (the next process cannot listen), if readiness waits for the change log, and
+    if the handover of a playing session is treated as a new set-up, which runs it twice."""
     loop, set_ups, hosts, port = SelectorLoop(), [], [], free_port()
 
     def accept():
@@ -83,7 +83,7 @@
     def until_seen(seen):
         late = loop.now() + SOON
         while not seen():
-            assert loop.now() < late, "not seen"
+            assert loop.now() < late, "condition not met in time"
             loop.turn(loop.now() + 5000)
 
     def viewers(first, **change):
@@ -100,7 +100,7 @@
         halves = [Viewer(loop, port, set_up(b"half5678", "paid")[:40]), Viewer(loop, port, b"")]
         if kill == "in the backlog":
             until_seen(lambda: len(set_ups) == 6)
-            os.kill(process.pid, signal.SIGSTOP)  # the kernel completes what it does not accept any more
+            os.kill(process.pid, signal.SIGSTOP)  # the kernel still completes connections in the backlog
             asked += viewers(7)
         until_seen(lambda: all(each.is_open for each in asked + halves))
         if kill == "unanswered":
@@ -119,7 +119,7 @@
         until_seen(lambda: all(each.read for each in new))
         assert new[0].read[0].kind == Kind.TESTED and new[0].read[0].cause == 1
         assert {each.read[0].kind for each in new[1:]} == {Kind.ANSWER}
-        if kill == "once it stands":  # the viewers' side tells what still plays; the host ends it
+        if kill == "once it stands":  # the viewers hand over the playing sessions; the host ends them
             told = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
             until_seen(lambda: all(each.is_open for each in told))
             loop.run(loop.now() + 200_000)
@@ -128,7 +128,7 @@
                 line.stream.write(release(number.to_bytes(8), Cause.NORMAL_CLEARING))
             until_seen(lambda: all(each.read for each in told))
             assert all(each.read[0].cause == Cause.NORMAL_CLEARING for each in told)
-        loop.run(loop.now() + 200_000)  # what the process before was asked does not come again
+        loop.run(loop.now() + 200_000)  # set-ups of the killed process must not arrive again
         counts = Counter(int.from_bytes(call) for call in set_ups)
         assert max(counts.values()) == 1 and set(range(101, 107)) <= counts.keys()
         assert counts.keys() <= {*range(1, 7), *range(101, 107)}
@@ -137,14 +137,14 @@
         process.wait()
 
 
-# Thirty processes that start at once in front of cold hosts
+# Thirty gateways that start at once with cold hosts
 
 COUNT = 30
 COLD, FALL, STREAMS, MULTIPLE, FROM = 8 * SECOND, 1_500_000, 90, 2.5, 0.5
 
 
 class Thirty:
-    """Thirty whole gateways of one fleet in front of the platform's hosts, all of them cold."""
+    """Thirty gateways of one fleet with three hosts, all in their slow start."""
 
     def __init__(self):
         pace = {"cold": COLD, "coldFrom": FROM, "fall": FALL, "overloadFactor": MULTIPLE}
@@ -160,7 +160,7 @@
         return entry(name, started=EPOCH * 1000 + self.born[name] // MS)
 
     def start(self):
-        """Start all at once; they know the hosts that are there."""
+        """Start all gateways at once, with the hosts known that have started by now."""
         platform = self.platform
         names = [name for name in self.born if self.born[name] <= platform.now()]
         seq = len(names) - 1
@@ -174,7 +174,7 @@
             Node(self.machines[-1], msgspec.convert(told, Config), lambda event, **fields: None)
 
     def play(self, seconds):
-        """Let each be asked a dozen times a second."""
+        """Send each gateway twelve set-ups a second."""
         ends = []
         for me in range(COUNT):
             ends.append(Peer())
@@ -186,7 +186,10 @@
             self.platform.run(1 / 12)
 
     def over(self, name):
-        """Give how far the fullest window of a host is above N + 2 * root of N + 2; under 0 is well."""
+        """Return by how much a host's fullest window exceeds N + 2 * sqrt(N) + 2; 0 or less is within bounds.
+
+        N is the slow start's budget of set-ups for the window.
+        """
         times = sorted(at for at, _ in self.platform.hosts[name].set_ups)
         worst = []
         for place, begin in enumerate(times):
@@ -198,7 +201,7 @@
 
 @pytest.mark.parametrize("again", [False, True])
 def test_thirty_gateways_that_start_at_once_send_no_more_than_cold_hosts_bear(again):
-    """Fails where `_part` gives each gateway the whole budget; `again` where a start leaves no host alone."""
+    """Fails if each gateway uses the whole slow-start budget; with `again` if a restart sends at once."""
     thirty = Thirty()
     thirty.play(2.4 if again else 3.6)
     if again:
@@ -210,11 +213,11 @@
     assert {name: over for name in thirty.born if (over := thirty.over(name)) > 0} == {}
 
 
-# A process that stands idle
+# Idle gateway
 
 
 def test_a_gateway_nobody_asks_keeps_its_watch_and_grows_by_nothing():
-    """Fails where comments do not count as word of the log, and where `on_body` keeps what it passed on."""
+    """Fails if comments do not count as activity of the change log, and if the HTTP client keeps the body."""
     platform = Platform("a", "b")
     end, node = platform.viewer(), platform.node
     end.stream.write(messages.test(bytes(8)))
@@ -239,7 +242,7 @@
     finally:
         tracemalloc.stop()
     assert grown < 2000, grown  # bytes
-    assert fired <= 900 * 12  # two looks at connections, each four times a second, and the log's comment
+    assert fired <= 900 * 12  # two periodic checks four times a second each, and the log's comments
     waiting = [timer for _, _, timer in platform.world._timers._heap if timer.do is not None]
     assert len(waiting) < 12
     assert platform.log.asked == ["1"] and len(platform.log.streams) == 1
@@ -254,7 +257,7 @@
 
 
 def test_a_real_loop_that_nothing_comes_to_turns_a_few_times_a_second():
-    """Fails where either look at connections comes each 10 ms."""
+    """Fails if either periodic check of connections runs every 10 ms."""
     bench = Bench()
     bench.accepted(bench.log)
     before = bench.loop.turns
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""The codec and the change log fuzzed: whatever comes in whatever pieces, and never an exception."""
+"""Fuzz tests of the codec, the set-up parser and the change log: no input in any fragmentation raises."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The gateway on the platform, whole, in memory: what passed on the connections is what is checked."""
+"""The whole gateway on an in-memory network, checked by the messages on its connections."""
 
 import pytest
 from platform_world import MS, Cause, Kind, Param, Platform, entry, news, play, refuse, set_up, silent
--- a/tests/test_node_hard.py
+++ b/tests/test_node_hard.py
@@ -1,4 +1,4 @@
-"""Hard cases on the platform: crossings, resets at every moment, floods, a long run that leaves nothing."""
+"""Edge cases of the gateway: race conditions, resets at any moment, floods and leaks over a long run."""
 
 import pytest
 from platform_world import Cause, Host, Kind, Param, Platform, entry, news, play, refuse, set_up, silent
@@ -10,7 +10,7 @@
 
 
 def later(seconds, then=play):
-    """Answer after a while, whatever became of the set-up meanwhile."""
+    """Run `then` after a delay, even if the set-up was cancelled meanwhile."""
     return lambda host, end, message: host.platform.world.at(
         host.platform.now() + int(seconds * 1e6), then, host, end, message
     )
@@ -89,7 +89,7 @@
     (line,) = [e for e in platform.node.hosts.pools[f"id-{first}".encode()].connections if e.attempt]
     other = platform.hosts["b" if first == "a" else "a"]
     other.script = play
-    line.stream.handed_over -= 1  # the network had not taken the last byte
+    line.stream.handed_over -= 1  # the network has not taken the last byte
     line.stream.abort()
     platform.run(0.1)
     assert one_answer(end, call).params[Param.DESCRIPTION] == b"from " + other.name.encode()
@@ -230,7 +230,8 @@
 @pytest.mark.parametrize("before_us", range(-200, 1600, 100))
 def test_an_end_told_on_a_connection_that_is_just_given_back_is_heard_all_the_same(before_us):
     platform = Platform("a", script=later(0.01))
-    back = platform.now() // LOOK * LOOK + LOOK + SPARE  # the look at which what is used now is given back
+    # the periodic check that closes the connections that are used now
+    back = platform.now() // LOOK * LOOK + LOOK + SPARE
     host, end = platform.hosts["a"], platform.viewer()
     calls = [platform.ask(end, figures="home:0;copies:4;top:0") for _ in range(3)]
     platform.world.run(back - before_us)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""The gateway on the platform as a process: what it loads, its signals, bad configurations."""
+"""The gateway as a process: imported modules, signals, invalid configurations."""
 
 import json
 import os
@@ -16,13 +16,13 @@
 from mintmast.signalling import messages
 from mintmast.signalling.messages import Kind, Reader, encode
 
-# what belongs to the other ways in and out, and what only costs room
+# libraries of the other adapters, and ones that take too much memory for this process
 UNWANTED = (
     "click asyncio prometheus_client opentelemetry cryptography jwt lxml jsonschema structlog logging".split()
 )
 
 
-LONGEST = 60  # s that a process has in a test
+LONGEST = 60  # s after which a test's process is killed
 
 
 def config(path, port, **change):
@@ -48,9 +48,8 @@
 def start(path):
     command = [sys.executable, "-m", "mintmast", "node", str(path)]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
-    late = threading.Timer(
-        LONGEST, process.kill
-    )  # what it does not say by then fails the test that waits for it
+    # a test that waits for a log line then fails, as the output ends
+    late = threading.Timer(LONGEST, process.kill)
     late.daemon = True
     late.start()
     return process
@@ -61,7 +60,7 @@
         said = json.loads(line)
         if said["event"] == event:
             return said
-    raise AssertionError(f"ended without {event}")
+    raise AssertionError(f"process ended without the log event {event!r}")
 
 
 def ask(port):
@@ -93,17 +92,17 @@
 
 
 def test_signals_that_come_before_the_configuration_is_read_are_kept(tmp_path):
-    """A pipe in the configuration's place holds the start up until the signals have been sent."""
+    """The configuration is a named pipe, which blocks the start until the signals have been sent."""
     port = free_port()
     text = config(tmp_path / "told.json", port, changelog="127.0.0.1:2").read_text()
     path = tmp_path / "config.json"
     os.mkfifo(path)
     process = start(path)
     try:
-        with path.open("w") as pipe:  # it is being read from now on
+        with path.open("w") as pipe:  # blocks until the process opens the configuration
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGHUP)
-            (tmp_path / "told.json").replace(path)  # what is read next is a file
+            (tmp_path / "told.json").replace(path)  # the next read gets a regular file
             pipe.write(text)
         assert until(process, "reloaded")["changelog"] == "127.0.0.1:2"
         assert ask(port).kind == Kind.TESTED
@@ -167,7 +166,7 @@
     process = start(config(tmp_path / "conf.json", port))
     try:
         until(process, "serving")
-        ask(port)  # its loop turns
+        ask(port)  # the event loop is running
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.6)
         process.send_signal(signal.SIGCONT)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: whatever they say, one line and exit 2, or a gateway that serves."""
+"""Arbitrary settings: the gateway either refuses them with one line, or serves."""
 
 import copy
 import random
@@ -12,7 +12,7 @@
 from mintmast.signalling.configuration import ConfigError
 from mintmast.wire import WireError
 
-# what `run` tells in one line and exit code 2
+# errors that `run` reports as one line with exit code 2
 REFUSED = (ConfigError, WireError, msgspec.MsgspecError, OSError)
 VALUES = [
     None,
@@ -47,7 +47,7 @@
 
 
 def places(value, path=()):
-    """Give the path of every value in the settings."""
+    """Return the path of every value in the settings."""
     found = [path] if path else []
     if isinstance(value, dict | list):
         for key in value if isinstance(value, dict) else range(len(value)):
@@ -68,7 +68,7 @@
 
 
 def serves(settings):
-    """Play a little; False where the settings were refused in one line."""
+    """Run a gateway with the settings; return False if they were refused with one line."""
     try:
         platform = Platform("a", "b", settings=settings)
     except REFUSED as error:
@@ -104,12 +104,12 @@
             try:
                 settings = changed(settings, draw.choice(PLACES), draw.choice([*VALUES, KeyError]))
             except (KeyError, IndexError, TypeError):
-                pass  # what the place lay in is gone
+                pass  # an earlier change removed the object that held this value
         served += serves(settings)
     assert served > 20
 
 
-# names of deployments that the gateway is measured on; the variants in deploy/sites bring their own
+# names of deployments that the gateway is benchmarked on, beside those in deploy/sites
 KNOWN = "adresar corrib mangkuk registro-habla billed-route entrance-preview brzi otok hall-a live-walkround"
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -1,4 +1,4 @@
-"""Slow start over real processes: three gateways, all killed inside the window, against one cold host."""
+"""Slow start over real processes: one cold host, three gateways killed and restarted within its window."""
 
 import json
 import time
@@ -11,8 +11,8 @@
 from mintmast.signalling import messages
 from mintmast.signalling.messages import Kind, Reader
 
-# A set-up may leave a second after it was decided, as long as a connection may take here: load on the machine
-# changes nothing. N is 11.25 at the beginning, in a window of 3 s.
+# A set-up may be sent up to the connect timeout of 1 s after its decision, so that load on the machine does
+# not change the result. The budget N is 11.25 set-ups at first, in a window of 3 s.
 FALL, CONNECT, PLAYED = 3_000_000, 1_000_000, 4_500_000
 PACE = {"cold": 20_000_000, "coldFrom": 0.5, "fall": FALL, "overloadFactor": 2.5}
 BUDGET = 2.5 * 60 / 20 * 0.5 * 3
@@ -20,7 +20,7 @@
 
 
 class Host(Handler):
-    """The host's end of a connection: plays whatever comes, and notes when."""
+    """The host's end of a connection; answers every set-up and records its time."""
 
     name = "a"
 
@@ -80,7 +80,7 @@
 
 
 class Peer(Handler):
-    """A viewer that asks once."""
+    """A viewer that sends one set-up."""
 
     data = b""
 
