--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -118,7 +118,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.booleans(), st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 10**6)), max_size=80))
-def test_whatever_comes_in_whatever_order_each_call_has_one_answer_and_nothing_is_left(may_cancel, steps):
+def test_each_call_gets_one_answer_and_is_cleaned_up_for_any_order_of_events(may_cancel, steps):
     world = World(may_cancel)
     for kind, pick in steps:
         world.step(kind, pick)
@@ -129,7 +129,7 @@
     assert not any(each.sessions for each in world.calls.module.servers.values())
 
 
-def test_each_row_that_ends_a_call_tells_the_module_that_nothing_more_is_owed():
+def test_each_transition_that_ends_a_call_reports_a_complete_attempt_end():
     for (stage, seen), step in TABLE.items():
         assert (step.to is None) == (step.tell is Tell.CLOSED), (stage, seen)
         if stage is Stage.STANDING:
@@ -138,7 +138,7 @@
             assert (Owed.ANSWER in step.owed) != (Owed.CUT in step.owed), "needs an answer or a release"
 
 
-def test_a_session_of_before_the_hosts_new_start_is_over_and_one_of_after_it_is_not():
+def test_a_host_restart_ends_only_the_sessions_that_began_before_it():
     calls = Calls(fleet(1))
     for number in (1, 2):
         now = T0 + number * S
@@ -148,7 +148,7 @@
     assert [each.call for each in commands if isinstance(each, c.Release)] == [(1).to_bytes(8)]
 
 
-def test_a_session_found_playing_counts_at_its_host_until_it_is_over():
+def test_an_adopted_session_counts_at_its_host_until_it_ends():
     calls = Calls(fleet(2))
     calls.found(T0, wish(1), 1, HOSTS[1])
     assert calls.standing_at(HOSTS[1]) and len(calls.module.servers[HOSTS[1]].sessions) == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 # Names
 
 
-def test_classes_and_tenants_may_be_named_in_any_letters():
+def test_class_and_tenant_names_may_be_non_ascii():
     services = [SETTINGS["services"][0] | {"name": "žuti sloj/α"}, SETTINGS["services"][1] | {"name": "ф"}]
     tenants = [{"name": "øy tv", "quotaPerS": 50.0, "share": 1.0}]
     platform = Platform("a", settings=SETTINGS | {"services": services, "accounts": tenants})
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets", "gives up"])
 @pytest.mark.parametrize("cancels", [True, False])
-def test_no_attempt_begins_for_a_viewer_that_is_gone_while_it_waits_for_its_connection(how, cancels):
+def test_no_attempt_is_sent_if_the_viewer_leaves_while_the_host_connection_opens(how, cancels):
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"cancel": cancels, "maxAttempts": 3}}
     platform = Platform("a", "b", settings=settings)
     for name in "ab":
@@ -67,7 +67,7 @@
     assert not any(server.strikes for server in platform.node.calls.module.servers.values())
 
 
-def test_no_further_attempt_begins_for_a_viewer_that_is_gone():
+def test_no_retry_begins_after_the_viewer_has_left():
     platform = Platform("a", "b", script=silent)
     end = platform.viewer()
     call = platform.ask(end, "free")
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("takes, heard", [(19, False), (1 << 20, True)])
-def test_a_session_whose_answer_the_connection_never_took_is_ended_with_it(takes, heard):
+def test_a_session_whose_answer_was_not_delivered_ends_with_the_connection(takes, heard):
     platform = Platform("a")
     line, _ = line_with_session(platform, takes)
     assert platform.hosts["a"].set_ups
@@ -126,7 +126,7 @@
     assert (b"sessions" in platform.hosts["a"].cuts) is not heard
 
 
-def test_the_end_of_a_session_on_a_connection_that_is_closing_is_told_on_another():
+def test_a_session_end_is_sent_on_another_connection_if_its_own_is_closing():
     platform = Platform("a")
     line, _ = line_with_session(platform)
     end = platform.viewer()
@@ -138,7 +138,7 @@
     assert end.of(b"sessions", Kind.RELEASE)
 
 
-def test_the_end_of_a_session_that_the_connection_did_not_take_is_told_on_another():
+def test_an_undelivered_session_end_is_sent_on_another_connection():
     platform = Platform("a")
     line, stream = line_with_session(platform)
     end = platform.viewer()
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("by", ["viewer", "host"])
-def test_a_session_ended_on_another_connection_leaves_its_own_free_to_be_closed(by):
+def test_a_session_ended_on_another_connection_is_removed_from_its_own(by):
     platform = Platform("a")
     one, other = platform.viewer(), platform.viewer()
     call = platform.ask(one)
@@ -168,7 +168,7 @@
     assert not any(line.carried for line in platform.node.viewers.connections.values())
 
 
-def test_a_release_to_a_host_whose_connection_breaks_under_it_is_sent_again():
+def test_a_release_is_sent_again_if_the_host_connection_breaks():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("cause", [Cause.NORMAL_CLEARING, Cause.TEMPORARY_FAILURE])
-def test_a_session_that_ends_at_its_host_before_it_is_told_is_released_when_it_is(cause):
+def test_a_session_that_ends_at_its_host_before_its_handover_is_released_at_the_handover(cause):
     platform = Platform("a")
     end = ready(platform)
     platform.hosts["a"].live()[-1].stream.write(release(b"\2" * 8, cause))
@@ -208,7 +208,7 @@
     assert not any(b"\2" * 8 in line.carried for line in platform.node.viewers.connections.values())
 
 
-def test_a_session_that_its_viewer_ends_before_it_is_told_is_ended_at_its_host():
+def test_a_session_that_its_viewer_ends_before_its_handover_is_released_at_its_host():
     platform = Platform("a")
     end = ready(platform)
     platform.viewer().stream.write(release(b"\2" * 8, Cause.NORMAL_CLEARING))
@@ -219,7 +219,7 @@
     assert not end.of(b"\2" * 8, Kind.RELEASE)
 
 
-def test_a_session_told_again_after_its_end_is_not_taken_for_one_that_stands():
+def test_a_handover_repeated_after_the_session_end_is_rejected():
     platform = Platform("a")
     end = ready(platform)
     platform.hosts["a"].live()[-1].stream.write(release(b"\1" * 8, Cause.NORMAL_CLEARING))
@@ -229,7 +229,7 @@
     assert not platform.node.calls.by_id and end.of(b"\1" * 8, Kind.RELEASE)
 
 
-def test_ends_of_sessions_nobody_tells_are_forgotten_after_a_while():
+def test_early_session_ends_are_bounded_and_expire():
     platform = Platform("a")
     ready(platform)
     for number in range(5000):
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("seen", range(0, 60, 4))
-def test_a_set_up_never_goes_to_the_address_that_its_host_has_left(seen):
+def test_a_set_up_is_never_sent_to_the_old_address_of_its_host(seen):
     """The address changes during the connect, during the health check, and at instants between.
 
     Guards against a set-up that is written to the old address, which may be another host's by then.
@@ -270,7 +270,7 @@
 
 @pytest.mark.parametrize("gone_first", [True, False])
 @pytest.mark.parametrize("seen", range(0, 40, 4))
-def test_a_set_up_for_a_host_that_was_replaced_does_not_go_to_its_successor(seen, gone_first):
+def test_a_set_up_for_a_replaced_host_is_not_sent_to_the_host_at_its_address(seen, gone_first):
     """Another host, which does not hold the title, takes over the address; its start may be listed first."""
     platform = Platform("a")
     for way in (("gw", "a"), ("a", "gw")):
@@ -295,7 +295,7 @@
 # Change log
 
 
-def test_a_log_whose_numbers_start_again_is_heard_and_repeats_of_old_lists_are_not():
+def test_a_change_log_whose_sequence_numbers_restart_is_followed_and_old_lists_are_ignored():
     platform = Platform("a")
     platform.log.tell(news_of(news(2, entry("b"))))
     platform.log.tell(news_of(news(3, entry("c"))))
@@ -315,7 +315,7 @@
 # File descriptors
 
 
-def test_connections_to_hosts_nobody_needs_go_for_others_when_there_are_no_more():
+def test_spare_host_connections_are_closed_for_new_ones_at_the_limit():
     names = [f"h{number}" for number in range(6)]
     platform = Platform(*names, sockets=2 * 28)  # four connections to hosts
     assert platform.node.hosts.limits.connections == 4
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("gone", ["closed", "shut", "reset", "taken back"])
-def test_of_hundreds_of_set_ups_whose_viewer_is_gone_when_they_are_read_few_are_asked(gone):
+def test_few_of_hundreds_of_set_ups_are_submitted_if_their_viewer_has_left(gone):
     bench = Bench()
     bench.turn()
     viewer = bench.viewer()
@@ -132,7 +132,7 @@
     assert not bench.node.calls.by_id and not bench.node.viewers.held
 
 
-def test_a_flood_of_set_ups_on_one_connection_does_not_hold_up_another():
+def test_a_flood_of_set_ups_on_one_connection_does_not_delay_another():
     bench = Bench()
     bench.turn()
     flood, other = bench.viewer(), bench.viewer()
@@ -144,7 +144,7 @@
     assert bench.node.calls._numbers <= 40
 
 
-def test_a_fault_met_with_one_set_up_does_not_keep_others_waiting(monkeypatch):
+def test_an_exception_for_one_set_up_does_not_stop_the_others(monkeypatch):
     bench = Bench()
     ask, faulty = bench.node.calls.ask, [numbered(1)]
 
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
-def test_a_host_s_answer_in_the_turn_in_which_its_viewer_is_gone_leaves_nothing_standing(how):
+def test_a_host_answer_in_the_turn_of_its_viewers_disconnect_leaves_no_session(how):
     bench = Bench()
     viewer, call = bench.viewer(), numbered(7)
     line = bench.set_up_at_host(viewer, call)
@@ -178,7 +178,7 @@
     assert all(abs(server.link.changed(bench.loop.now())) < 1e-6 for server in module.servers.values())
 
 
-def test_a_connection_on_which_a_set_up_lies_unread_is_not_closed_to_make_room():
+def test_a_connection_with_an_unread_set_up_is_not_closed_for_a_new_one():
     bench = Bench(sockets=2)  # one connection of viewers
     viewer = bench.viewer()
     viewer.sendall(messages.test(bytes(8)))
@@ -191,7 +191,7 @@
     newcomer.close()
 
 
-def test_a_first_message_that_lies_unread_when_its_time_ends_is_read(monkeypatch):
+def test_a_first_message_that_is_unread_at_its_time_limit_is_processed(monkeypatch):
     bench = Bench()
     viewer = bench.viewer()
     bench.until(lambda: bench.node.viewers.connections)
@@ -229,7 +229,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
 
-def test_a_listener_without_descriptors_waits_without_turning_and_then_accepts(no_descriptors):
+def test_a_listener_without_descriptors_does_not_spin_and_accepts_later(no_descriptors):
     take, give = no_descriptors
     bench = Bench()
     bench.turn(3)
@@ -244,7 +244,7 @@
     assert not bench.faults
 
 
-def test_the_change_log_is_followed_as_soon_as_there_are_descriptors_again(no_descriptors):
+def test_the_change_log_is_followed_once_descriptors_are_free_again(no_descriptors):
     take, give = no_descriptors
     bench = Bench()
     take()
@@ -254,7 +254,7 @@
     assert bench.accepted(bench.log)
 
 
-def test_a_host_that_no_descriptor_is_left_for_is_not_taken_for_dead(monkeypatch):
+def test_a_lack_of_descriptors_does_not_mark_a_host_dead(monkeypatch):
     bench = Bench()
     viewer, call = bench.viewer(), numbered(7)
     line = bench.set_up_at_host(viewer, call)
@@ -275,7 +275,7 @@
     assert bench.accepted()
 
 
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out_for_good():
+def test_idle_clients_that_use_all_descriptors_lock_out_neither_viewers_nor_discovery():
     bench = Bench(sockets=64)  # 32 for viewers
     log = bench.log.getsockname()
     bench.log.close()
@@ -299,7 +299,7 @@
 # Shutdown
 
 
-def test_set_ups_in_the_backlog_when_the_gateway_stops_taking_are_all_answered(monkeypatch):
+def test_set_ups_in_the_backlog_at_shutdown_are_all_answered(monkeypatch):
     monkeypatch.setattr(node_module, "STILL_COME", 0)
     bench = Bench(sockets=2048)
     viewers = [bench.viewer() for _ in range(150)]
@@ -315,7 +315,7 @@
         assert viewer.recv(1) == b""
 
 
-def test_what_is_queued_for_a_viewer_is_sent_before_the_gateway_ends(monkeypatch):
+def test_data_queued_for_a_viewer_is_sent_before_the_gateway_exits(monkeypatch):
     monkeypatch.setattr(node_module, "STILL_COME", 0)
     bench = Bench()
     viewer = socket.socket()
@@ -348,7 +348,7 @@
     assert sum(got) == 100_000
 
 
-def test_a_stream_that_finishes_with_bytes_unread_ends_without_a_reset():
+def test_a_lingering_close_with_unread_bytes_causes_no_reset():
     loop, ends = SelectorLoop(), []
 
     class Server(Handler):
@@ -380,7 +380,7 @@
 # Log output
 
 
-def test_a_log_that_takes_no_lines_does_no_harm():
+def test_a_blocked_log_sink_loses_lines_and_counts_them():
     class Full:
         full = True
 
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("what", KNOWN)
-def test_a_reload_while_hosts_drain_forgets_no_drain_and_ends_nothing_there(what):
+def test_a_reload_while_hosts_drain_keeps_the_drains_and_ends_no_session(what):
     """Fails if the change log processes duplicate sequence numbers, which undoes the drains."""
     (seq, *results), asked = KNOWN[what]
     platform = Platform("a", "b", "c")
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("silences", [1, 3])
-def test_a_log_that_falls_silent_after_a_whole_list_is_asked_again_and_nothing_is_lost(silences):
+def test_a_change_log_that_falls_silent_after_a_full_list_is_reconnected_without_loss(silences):
     """Fails with a silence timeout of 60 s: the client does not reconnect, and misses the change."""
     platform = Platform("a", "b", "c")
     log, end = platform.log, platform.viewer()
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("successor", [False, True])
-def test_a_whole_list_in_place_of_a_delta_takes_away_what_is_not_in_it_and_nothing_else(successor):
+def test_a_full_list_in_place_of_a_delta_removes_exactly_the_missing_hosts(successor):
     """Fails if a full list is applied as a delta, if hosts missing from it are kept, and if each listed host
     is treated as restarted."""
     platform = Platform("a", "b", "d")
@@ -171,7 +171,7 @@
             self.world.at(self.next, self.stream.write, data[at : at + 1])
 
 
-def test_set_ups_and_all_a_host_says_may_come_byte_by_byte():
+def test_set_ups_and_host_messages_may_arrive_byte_by_byte():
     """Fails if the decoder keeps no incomplete message, and if a set-up's timeout counts from its connect."""
     platform = Platform("a", settings=SETTINGS | {"caps": SETTINGS["caps"] | {"connectTimeout": SECOND}})
     host, take = platform.hosts["a"], platform.hosts["a"].take
@@ -202,7 +202,7 @@
     assert not platform.node.calls.by_id and not any(end.closed_by for end in ends)
 
 
-def test_bytes_that_a_real_loop_reads_one_by_one_make_the_same_set_up_and_answer():
+def test_a_set_up_and_its_answer_may_arrive_byte_by_byte_on_a_real_loop():
     """Fails if the decoder keeps no incomplete message."""
     bench, call = Bench(), numbered(7)
     viewer = bench.viewer()
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("what", HOSTS)
 @pytest.mark.parametrize("service", ["paid", "free"])
-def test_every_set_up_has_one_answer_in_its_time_whatever_the_host_does(service, what):
+def test_every_set_up_gets_one_answer_by_its_deadline_whatever_the_host_does(service, what):
     """Fails without the deadline timer, without the connect timer, and if the end of a connection does not
     end its set-up: a set-up that has failed is answered long before its deadline."""
     platform = Platform("a", "b", script=HOSTS[what])
@@ -314,7 +314,7 @@
         assert all(call in host.cuts for host in platform.hosts.values() for call in host.home)
 
 
-def test_set_ups_that_nobody_answers_are_counted():
+def test_the_answer_counter_detects_missing_and_duplicate_answers():
     """The counter above detects missing answers of a dead gateway, late answers and duplicates."""
     platform = Platform("a", script=later(0.2))
     count = Count(platform)
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("kill", ["at the accept", "in the backlog", "unanswered", "once it stands"])
-def test_a_process_that_is_killed_behind_an_accept_is_followed_by_a_ready_one(tmp_path, monkeypatch, kill):
+def test_a_process_killed_after_an_accept_is_replaced_by_a_ready_one(tmp_path, monkeypatch, kill):
     """Fails without SO_REUSEADDR (the next process cannot listen), if readiness waits for the change log, and
     if the handover of a playing session is treated as a new set-up, which runs it twice."""
     loop, set_ups, hosts, port = SelectorLoop(), [], [], free_port()
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_thirty_gateways_that_start_at_once_send_no_more_than_cold_hosts_bear(again):
+def test_thirty_gateways_that_start_at_once_stay_within_the_slow_start_budget(again):
     """Fails if each gateway uses the whole slow-start budget; with `again` if a restart sends at once."""
     thirty = Thirty()
     thirty.play(2.4 if again else 3.6)
@@ -216,7 +216,7 @@
 # Idle gateway
 
 
-def test_a_gateway_nobody_asks_keeps_its_watch_and_grows_by_nothing():
+def test_an_idle_gateway_follows_the_change_log_and_leaks_no_memory():
     """Fails if comments do not count as activity of the change log, and if the HTTP client keeps the body."""
     platform = Platform("a", "b")
     end, node = platform.viewer(), platform.node
@@ -256,7 +256,7 @@
     assert platform.hosts["b"].set_ups[-1][0] - begin < 10 * MS
 
 
-def test_a_real_loop_that_nothing_comes_to_turns_a_few_times_a_second():
+def test_an_idle_real_loop_turns_a_few_times_a_second():
     """Fails if either periodic check of connections runs every 10 ms."""
     bench = Bench()
     bench.accepted(bench.log)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -20,7 +20,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.one_of(SOUND, BYTES), max_size=6), st.lists(st.integers(1, 60), min_size=1, max_size=20))
-def test_any_bytes_in_any_pieces_give_the_same_messages_and_hold_no_more_than_one(parts, sizes):
+def test_fragmentation_does_not_change_the_decoded_messages_and_buffering_is_bounded(parts, sizes):
     data = b"".join(parts)
     whole = Reader()
     want = whole.feed(data)
@@ -34,7 +34,7 @@
 
 
 @given(SOUND)
-def test_a_sound_message_is_read_back(data):
+def test_an_encoded_message_decodes_to_itself(data):
     (message,) = Reader().feed(data)
     assert message.fault is None
     assert encode(Kind(message.kind), message.call, message.params.items()) == data
@@ -51,7 +51,7 @@
         ),
     )
 )
-def test_a_set_up_of_anything_is_a_wish_within_bounds_or_a_cause(params):
+def test_arbitrary_set_up_parameters_give_a_bounded_request_or_a_cause(params):
     asked = asking.read(Message(Kind.SET_UP, b"12345678", params), TERMS)
     if isinstance(asked, Cause):
         return
@@ -63,7 +63,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=300))
-def test_noise_on_the_change_log_leaves_the_list_as_it_was(noise):
+def test_garbage_on_the_change_log_leaves_the_list_unchanged(noise):
     platform = Platform("a")
     platform.log.tell(b"data: " + noise + b"\n\n")
     platform.run(0.5)
@@ -73,7 +73,7 @@
     assert set(platform.node._entries) == {b"id-a", b"id-b"}
 
 
-def test_an_event_that_skips_a_number_is_taken_once_it_was_asked_for_again():
+def test_a_gap_in_sequence_numbers_is_accepted_only_after_one_new_request():
     platform = Platform("a")
     platform.log.tell(b"data: " + _json(news(3, entry("c"))) + b"\n\n")
     platform.run(0.2)
@@ -89,7 +89,7 @@
     assert b"id-d" in platform.node._entries
 
 
-def test_a_new_address_in_mid_event_goes_on_with_the_numbers_heard():
+def test_a_new_log_address_in_the_middle_of_an_event_resumes_after_the_last_event():
     platform = Platform("a")
     whole = b"data: " + _json(news(2, entry("b"))) + b"\n\n"
     platform.log.tell(whole[:40])
@@ -114,12 +114,12 @@
     assert b"Last-Event-ID: 1\r\n" in asked[0] and b"id-b" in platform.node._entries
 
 
-def test_the_settings_of_the_tests_are_the_adapters_own_kind():
+def test_the_settings_of_the_tests_are_valid():
     parsed = wire.parse_settings(_json(SETTINGS))
     assert parsed.load_fields == ("x0",) and parsed.classes[0].deadline == 3_000_000
 
 
-def test_a_release_tells_how_long_to_stay_away():
+def test_a_release_carries_the_retry_advice():
     (message,) = Reader().feed(release(b"12345678", Cause.SWITCHING_EQUIPMENT_CONGESTION, 250))
     assert message.cause == 42 and message.text(Param.STAY_AWAY) == "250" and set_up(b"12345678")
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -27,7 +27,7 @@
     assert not platform.node.calls.by_id and not platform.node.calls.module.sessions
 
 
-def test_a_paid_set_up_with_no_word_of_its_end_is_failed_once_and_never_sent_again():
+def test_a_paid_set_up_without_an_answer_fails_once_and_is_never_retried():
     platform = Platform("a", "b", script=silent)
     end = platform.viewer()
     call = platform.ask(end, "paid", ms=1000)
@@ -36,7 +36,7 @@
     assert sum(len(host.set_ups) for host in platform.hosts.values()) == 1
 
 
-def test_a_set_up_turned_away_as_full_goes_to_another_host_also_when_paid():
+def test_a_set_up_refused_as_full_is_retried_on_another_host_even_if_paid():
     platform = Platform("a", "b")
     platform.hosts["a"].script = refuse(Cause.NO_CIRCUIT_AVAILABLE)
     for _ in range(8):
@@ -47,7 +47,7 @@
     assert platform.hosts["a"].set_ups
 
 
-def test_a_host_that_is_cut_off_costs_a_paid_set_up_nothing_as_a_test_goes_first():
+def test_paid_set_ups_survive_a_host_that_is_cut_off_thanks_to_health_checks():
     platform = Platform("a", "b")
     end = platform.viewer()
     for _ in range(12):
@@ -59,7 +59,7 @@
     assert {one_answer(end, call).params.get(Param.DESCRIPTION) for call in calls} == {b"from b"}
 
 
-def test_what_stood_on_a_host_that_vanished_is_released_to_its_viewer_within_8_s():
+def test_sessions_on_a_host_that_is_cut_off_are_released_within_8_s():
     platform = Platform("a")
     end = platform.viewer()
     call = platform.ask(end)
@@ -69,7 +69,7 @@
     assert end.of(call, Kind.RELEASE)[0].cause == Cause.TEMPORARY_FAILURE
 
 
-def test_what_stood_on_a_host_that_died_is_released_at_once():
+def test_sessions_on_a_dead_host_are_released_at_once():
     platform = Platform("a")
     end = platform.viewer()
     call = platform.ask(end)
@@ -79,7 +79,7 @@
     assert end.of(call, Kind.RELEASE)
 
 
-def test_a_connection_reset_while_idle_takes_no_session_with_it():
+def test_a_reset_of_an_idle_host_connection_ends_no_session():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -92,7 +92,7 @@
     assert [m.cause for m in end.of(call, Kind.RELEASE)] == [Cause.NORMAL_CLEARING]
 
 
-def test_an_answer_that_cannot_be_read_ends_its_connection_and_the_session_behind_it():
+def test_a_malformed_answer_ends_its_connection_and_its_session():
     def spoilt(host, end, message):
         end.stream.write(b"\xff\xff" + bytes(50))
 
@@ -104,7 +104,7 @@
     assert call in host.cuts
 
 
-def test_a_set_up_given_up_is_given_up_at_the_host_and_answered_by_no_release():
+def test_a_cancelled_set_up_is_cancelled_at_the_host_and_not_answered():
     platform = Platform("a", script=silent)
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -115,7 +115,7 @@
     assert not platform.node.calls.by_id and not platform.node.calls.module.sessions
 
 
-def test_what_is_taken_back_with_the_same_bytes_reaches_no_host():
+def test_a_set_up_cancelled_in_the_same_bytes_reaches_no_host():
     platform = Platform("a")
     end = platform.viewer()
     call = b"12345678"
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("what", BAD)
-def test_a_set_up_out_of_range_is_failed_and_its_connection_closed(what):
+def test_an_invalid_set_up_fails_and_closes_its_connection(what):
     platform = Platform("a")
     end = platform.viewer()
     call = platform.ask(end, **BAD[what])
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("what", NOISE)
-def test_what_cannot_be_read_is_closed_within_3_s(what):
+def test_a_connection_with_malformed_data_is_closed_within_3_s(what):
     platform = Platform("a")
     end = platform.viewer()
     end.stream.write(NOISE[what])
@@ -184,7 +184,7 @@
     assert one_answer(other, call).kind == Kind.ANSWER
 
 
-def test_two_set_ups_under_one_number_are_both_failed_by_one_release():
+def test_two_set_ups_with_one_call_reference_fail_with_one_release():
     platform = Platform("a", script=silent)
     end = platform.viewer()
     call = platform.ask(end)
@@ -195,7 +195,7 @@
     assert call in platform.hosts["a"].cuts
 
 
-def test_the_number_of_another_viewers_set_up_does_that_viewer_no_harm():
+def test_a_copied_call_reference_does_not_affect_the_other_viewer():
     platform = Platform("a", script=silent)
     good, bad = platform.viewer(), platform.viewer()
     call = platform.ask(good)
@@ -211,7 +211,7 @@
     assert one_answer(good, call).params[Param.DESCRIPTION] == b"late but good"
 
 
-def test_a_number_taken_from_a_set_up_on_its_way_costs_its_viewers_connection_nothing():
+def test_a_call_reference_copied_before_its_set_up_arrives_closes_only_the_copier():
     platform = Platform("a")
     good, bad = platform.viewer(), platform.viewer()
     old = platform.ask(good)
@@ -229,7 +229,7 @@
     assert good.of(old, Kind.RELEASE) and not platform.node.calls.by_id
 
 
-def test_a_set_up_out_of_range_among_good_ones_closes_nothing():
+def test_an_invalid_set_up_closes_no_connection_with_sessions():
     platform = Platform("a")
     end = platform.viewer()
     platform.ask(end)
@@ -240,7 +240,7 @@
     assert one_answer(end, bad).kind == Kind.RELEASE and one_answer(end, good).kind == Kind.ANSWER
 
 
-def test_a_flood_of_long_set_ups_takes_no_more_than_its_room_and_others_are_served():
+def test_a_flood_of_long_set_ups_is_bounded_in_memory_and_others_are_served():
     platform = Platform("a", script=silent)
     flood, viewers = platform.viewer(), platform.node.viewers
     viewers.room = 100_000
@@ -259,7 +259,7 @@
     assert not viewers.held and len({one_answer(flood, call).cause for call in calls}) > 1
 
 
-def test_sessions_told_to_play_already_are_taken_at_a_start_and_not_later():
+def test_sessions_are_handed_over_only_shortly_after_a_start():
     platform = Platform("a")
     end = platform.viewer()
     end.stream.write(encode(Kind.TEST, bytes(8), [(Param.CAUSE, b"\0")]))
@@ -275,7 +275,7 @@
     assert one_answer(end, late).kind == Kind.RELEASE and len(platform.node.calls.by_id) == 1
 
 
-def test_a_peer_that_takes_nothing_of_its_answer_is_broken_off():
+def test_a_peer_that_does_not_read_its_answer_is_aborted():
     platform = Platform("a")
     end = platform.viewer()
     line = next(iter(platform.node.viewers.connections.values()))
@@ -285,7 +285,7 @@
     assert not platform.node.viewers.connections
 
 
-def test_a_new_host_at_the_address_of_one_that_has_gone_is_another_host():
+def test_a_new_host_at_the_address_of_a_removed_one_is_a_different_host():
     platform = Platform("a")
     end = platform.viewer()
     call = platform.ask(end)
@@ -301,7 +301,7 @@
     assert set(platform.node.hosts.pools) == {b"id-b"}
 
 
-def test_a_host_listed_as_gone_that_still_plays_keeps_its_sessions_over_a_reset():
+def test_a_host_removed_from_the_list_keeps_its_sessions_over_a_reset():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -316,7 +316,7 @@
     assert end.of(call, Kind.RELEASE) and not platform.node.hosts.pools
 
 
-def test_the_change_log_is_taken_up_where_it_broke_off_and_heard_once():
+def test_the_change_log_resumes_after_a_break_and_each_event_counts_once():
     platform = Platform("a")
     log = platform.log
     whole = b"id: 2\ndata: " + _json(news(2, entry("b"))) + b"\n\n"
@@ -335,7 +335,7 @@
     assert log.asked[-1] == "2" and len(log.asked) == 3
 
 
-def test_a_stopping_gateway_fails_tests_answers_what_still_comes_and_ends():
+def test_a_graceful_shutdown_reports_not_ready_answers_late_set_ups_and_ends():
     platform = Platform("a")
     stopped = []
     platform.node.on_stopped = lambda: stopped.append(platform.now())
@@ -351,7 +351,7 @@
     assert stopped
 
 
-def test_connections_beyond_their_bound_push_out_those_that_carry_nothing():
+def test_idle_connections_are_closed_for_new_ones_at_the_limit():
     platform = Platform("a", script=silent, sockets=64)
     good = platform.viewer()
     call = platform.ask(good, ms=2000)
@@ -363,7 +363,7 @@
     assert one_answer(good, call).kind == Kind.RELEASE
 
 
-def test_connections_that_hold_a_set_up_each_do_not_push_out_one_on_which_sessions_stand():
+def test_connections_with_open_set_ups_do_not_displace_one_with_sessions():
     platform = Platform("a", sockets=64)
     platform.node.hosts.limits.connections = 100
     good = platform.viewer()
@@ -381,7 +381,7 @@
     assert all(good.of(call, Kind.RELEASE) for call in calls)
 
 
-def test_messages_that_always_come_cut_in_two_are_not_taken_for_one_that_never_ends():
+def test_fragmented_messages_do_not_count_as_one_that_never_ends():
     platform = Platform("a")
     end = platform.viewer()
     data = b"".join(set_up(call.to_bytes(8)) for call in range(1, 31))
@@ -391,7 +391,7 @@
     assert end.closed_by is None and len([m for m in end.read if m.kind == Kind.ANSWER]) == 30
 
 
-def test_codec_gives_the_same_messages_however_the_bytes_are_cut():
+def test_the_codec_decodes_the_same_messages_byte_by_byte():
     data = set_up(b"12345678") + release(b"87654321", 41, 250) + encode(Kind.HEARD, bytes(8))
     whole = Reader().feed(data)
     reader, parts = Reader(), []
--- a/tests/test_node_hard.py
+++ b/tests/test_node_hard.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("after_ms", range(0, 12))
-def test_a_viewer_that_gives_up_while_the_answer_is_on_its_way_leaves_nothing_standing(after_ms):
+def test_a_cancellation_that_crosses_the_answer_leaves_no_session(after_ms):
     platform = Platform("a", script=later(0.004))
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end, "paid")
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("late_ms", range(-3, 4))
-def test_an_answer_at_the_very_deadline_is_the_answer_or_too_late_but_never_both(late_ms):
+def test_an_answer_near_the_deadline_is_either_in_time_or_late(late_ms):
     platform = Platform("a", script=later(0.4 + late_ms / 1000))
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end, "paid", ms=400)
@@ -41,7 +41,7 @@
     assert stands or call in host.cuts
 
 
-def test_an_end_at_the_host_and_one_at_the_viewer_that_cross_are_one_end():
+def test_crossing_releases_of_host_and_viewer_end_the_session_once():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -53,7 +53,7 @@
     assert len(end.of(call, Kind.RELEASE)) <= 1 and end.closed_by is None
 
 
-def test_a_move_ends_the_session_at_its_host_and_sends_the_viewer_back():
+def test_a_move_releases_the_session_at_its_host_and_tells_the_viewer_to_move():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
     call = platform.ask(end)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("service", ["paid", "free"])
-def test_a_connection_that_breaks_after_a_set_up_was_written_may_have_run_it(service):
+def test_a_set_up_on_a_connection_that_breaks_later_may_have_run(service):
     platform = Platform("a", "b", script=lambda host, end, message: end.stream.abort())
     end = platform.viewer()
     call = platform.ask(end, service)
@@ -80,7 +80,7 @@
     assert sent == (1 if service == "paid" else 2)
 
 
-def test_a_paid_set_up_of_which_a_part_was_written_goes_to_another_host():
+def test_a_paid_set_up_that_was_only_partly_sent_is_retried_on_another_host():
     platform = Platform("a", "b", script=silent)
     end = platform.viewer()
     call = platform.ask(end, "paid")
@@ -95,7 +95,7 @@
     assert one_answer(end, call).params[Param.DESCRIPTION] == b"from " + other.name.encode()
 
 
-def test_a_new_connection_that_is_reset_before_its_test_passed_costs_a_paid_set_up_nothing():
+def test_a_reset_before_the_health_check_passes_does_not_fail_a_paid_set_up():
     platform = Platform("a")
     host, end = platform.hosts["a"], platform.viewer()
     take, resets = host.take, []
@@ -113,7 +113,7 @@
     assert len(resets) == 2 and one_answer(end, call).kind == Kind.ANSWER
 
 
-def test_what_more_than_belongs_to_it_an_answer_brings_is_passed_over():
+def test_unexpected_and_duplicate_answers_are_ignored():
     def generous(host, end, message):
         end.stream.write(encode(Kind.ANSWER, b"unknown!", [(Param.DESCRIPTION, b"who")]))
         play(host, end, message)
@@ -127,7 +127,7 @@
     assert platform.hosts["a"].live() and not end.of(b"unknown!")
 
 
-def test_a_session_handed_over_twice_or_already_over_at_its_host_ends_once():
+def test_a_session_handed_over_twice_and_released_twice_ends_once():
     platform = Platform("a")
     end, call = platform.viewer(), b"12345678"
     found = set_up(call, figures="home:0;copies:4;top:2;at:id-a", patience=None, description=None)
@@ -139,7 +139,7 @@
     assert len(end.of(call, Kind.RELEASE)) == 1 and not platform.node.calls.by_id
 
 
-def test_60_mb_of_anything_are_closed_early_and_hold_nothing():
+def test_60_mb_of_garbage_close_the_connection_early_and_free_everything():
     platform = Platform("a")
     end = platform.viewer()
     for _ in range(600):
@@ -148,7 +148,7 @@
     assert end.closed_by is not None and not platform.node.viewers.connections
 
 
-def test_hundreds_of_set_ups_at_once_taken_back_at_once_leave_nothing_and_harm_nobody():
+def test_hundreds_of_set_ups_cancelled_at_once_are_cleaned_up_and_affect_no_other_viewer():
     platform = Platform("a", "b", script=later(0.02))
     bad, good = platform.viewer(), platform.viewer()
     ids = [number.to_bytes(8) for number in range(1000, 1300)]
@@ -165,7 +165,7 @@
     assert not any(m.kind == Kind.ANSWER for m in bad.read)
 
 
-def test_hundreds_of_silent_connections_leave_the_hosts_theirs():
+def test_hundreds_of_silent_viewer_connections_leave_descriptors_for_hosts():
     platform = Platform("a", sockets=64)
     silent_ones = [platform.viewer() for _ in range(200)]
     assert len([each for each in silent_ones if each.closed_by is None]) <= 32
@@ -175,7 +175,7 @@
     assert one_answer(end, call).kind == Kind.ANSWER
 
 
-def test_a_gateway_told_of_a_drain_sends_nothing_new_there():
+def test_no_new_set_up_is_sent_to_a_draining_host():
     platform = Platform("a", "b")
     platform.node.changelog.event(news(2, entry("a", "Terminating")))
     end = platform.viewer()
@@ -185,7 +185,7 @@
     assert all(one_answer(end, call).params[Param.DESCRIPTION] == b"from b" for call in calls)
 
 
-def test_a_refusal_goes_out_at_once_and_says_when_to_come_back():
+def test_a_refusal_is_sent_at_once_with_retry_advice():
     platform = Platform("a", script=refuse(Cause.NO_CIRCUIT_AVAILABLE))
     end = platform.viewer()
     began = platform.now()
@@ -196,7 +196,7 @@
     assert answer.params[Param.STAY_AWAY] == b"500"
 
 
-def test_a_long_run_of_hosts_and_viewers_that_come_and_go_leaves_tables_as_small_as_before():
+def test_tables_do_not_grow_over_a_long_run_of_changing_hosts_and_viewers():
     platform = Platform("h0", "h1", "h2")
     world, node = platform.world, platform.node
     alive = ["h0", "h1", "h2"]
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("before_us", range(-200, 1600, 100))
-def test_an_end_told_on_a_connection_that_is_just_given_back_is_heard_all_the_same(before_us):
+def test_a_session_end_that_crosses_the_close_of_a_spare_connection_is_received(before_us):
     platform = Platform("a", script=later(0.01))
     # the periodic check that closes the connections that are used now
     back = platform.now() // LOOK * LOOK + LOOK + SPARE
@@ -241,7 +241,7 @@
     assert all(end.of(call, Kind.RELEASE) for call in calls)
 
 
-def test_an_end_told_on_a_connection_that_breaks_is_heard_on_the_next():
+def test_a_session_end_on_a_breaking_connection_is_received_on_the_next():
     platform = Platform("a", script=later(0.01))
     host, end = platform.hosts["a"], platform.viewer()
     calls = [platform.ask(end, figures="home:0;copies:4;top:0") for _ in range(3)]
@@ -254,7 +254,7 @@
         assert end.of(call, Kind.RELEASE)
 
 
-def test_silence_of_one_set_up_does_not_hold_up_others_at_the_same_host():
+def test_an_unanswered_set_up_does_not_delay_others_at_the_same_host():
     platform = Platform("a")
     host, end = platform.hosts["a"], platform.viewer()
     host.script = silent
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -69,7 +69,7 @@
         return Reader().feed(sock.recv(100))[0]
 
 
-def test_it_serves_takes_a_new_configuration_refuses_a_bad_one_and_ends_when_told_to(tmp_path):
+def test_it_serves_reloads_refuses_an_invalid_configuration_and_stops_on_sigterm(tmp_path):
     port = free_port()
     path = config(tmp_path / "config.json", port)
     process = start(path)
@@ -91,7 +91,7 @@
         process.kill()
 
 
-def test_signals_that_come_before_the_configuration_is_read_are_kept(tmp_path):
+def test_signals_before_the_configuration_is_read_are_not_lost(tmp_path):
     """The configuration is a named pipe, which blocks the start until the signals have been sent."""
     port = free_port()
     text = config(tmp_path / "told.json", port, changelog="127.0.0.1:2").read_text()
@@ -110,7 +110,7 @@
         process.kill()
 
 
-def test_a_new_configuration_that_no_descriptor_is_left_for_is_read_as_soon_as_there_is_one(tmp_path):
+def test_a_reload_without_a_free_descriptor_is_retried(tmp_path):
     port = free_port()
     path = config(tmp_path / "config.json", port)
     process = start(path)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("what", BAD)
-def test_a_configuration_that_cannot_be_used_is_told_in_one_line(tmp_path, what):
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, what):
     change, word = BAD[what]
     path = tmp_path / "config.json"
     if isinstance(change, str):
@@ -150,7 +150,7 @@
     assert process.returncode == 2 and error.count("\n") == 1 and word in error
 
 
-def test_nothing_is_loaded_that_a_small_machine_has_no_room_for():
+def test_no_unneeded_library_is_imported():
     program = f"import sys, mintmast.signalling.node; print([m for m in {UNWANTED} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
@@ -161,7 +161,7 @@
         encode(Kind.SET_UP, bytes(8), [(46, bytes(17_000))])
 
 
-def test_a_process_that_stood_still_says_for_how_long(tmp_path):
+def test_a_stalled_process_logs_the_duration(tmp_path):
     port = free_port()
     process = start(config(tmp_path / "conf.json", port))
     try:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -91,12 +91,12 @@
 
 
 @pytest.mark.parametrize("place", PLACES, ids=lambda place: ".".join(map(str, place)))
-def test_whatever_one_setting_says_it_is_refused_in_one_line_or_the_gateway_serves(place):
+def test_any_change_of_one_setting_is_refused_in_one_line_or_serves(place):
     for value in [*VALUES, KeyError]:
         serves(changed(FULL, place, value))
 
 
-def test_settings_with_several_changes_are_refused_in_one_line_or_the_gateway_serves():
+def test_several_changes_of_settings_are_refused_in_one_line_or_serve():
     draw, served = random.Random(5), 0
     for _ in range(300):
         settings = FULL
@@ -114,7 +114,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_no_name_of_a_deployment_stands_in_the_program_or_its_deploy_file():
+def test_no_deployment_name_occurs_in_the_program_or_its_deploy_file():
     names = KNOWN.split()
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         site = tomllib.loads(path.read_text("utf-8"))
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -39,7 +39,7 @@
                 play(self, self, message)
 
 
-def test_gateways_that_are_killed_and_start_again_send_no_more_than_a_cold_host_bears(tmp_path):
+def test_restarted_gateways_stay_within_the_slow_start_budget_of_a_cold_host(tmp_path):
     loop, sends, number = SelectorLoop(), [], 0
     host = loop.listen("127.0.0.1", 0, lambda: Host(loop, sends))
     listed = entry("a", addr=f"127.0.0.1:{host.port}", started=int(time.time() * 1000))
