--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -1,8 +1,7 @@
 """Codec of the platform's binary set-up messages, without I/O; checks every bound.
 
 Message: length:2 type:1 call reference:8, then parameters; the length counts the bytes after itself.
-Parameter: code:1 length:2 value. Integers are big-endian. Message types and causes follow ISUP and ITU-T
-Q.850 where these have them.
+Parameter: code:1 length:2 value. Integers are big-endian.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class Kind(IntEnum):
-    """Message types."""
+    """Message types; a message that ISUP (ITU-T Q.763) has too carries the same code."""
 
     SET_UP = 1
     PROGRESS = 6
--- a/mintmast/signalling/viewers.py
+++ b/mintmast/signalling/viewers.py
@@ -90,7 +90,7 @@
 
     def _ask_some(self) -> None:
         """Submit a few set-ups, round robin over the connections, so that a flood on one delays no other."""
-        # scheduled first, so that an exception for one set-up does not stop the others
+        # the next turn, after more received data is read; set first, as an exception must not stop the others
         self._ask_next = self.loop.call_at(self.loop.now() + 1, self._ask_some)
         for _ in range(ASKED_A_TURN):
             while self._asking and not self._asking[0].fresh:
