--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -45,7 +45,7 @@
 # Disconnected viewers
 
 
-@pytest.mark.parametrize("how", ["closes", "resets", "gives up"])
+@pytest.mark.parametrize("how", ["closes", "resets", "cancels"])
 @pytest.mark.parametrize("cancels", [True, False])
 def test_no_attempt_is_sent_if_the_viewer_leaves_while_the_host_connection_opens(how, cancels):
     settings = SETTINGS | {"caps": SETTINGS["caps"] | {"cancel": cancels, "maxAttempts": 3}}
@@ -56,7 +56,7 @@
     call = platform.ask(end, "paid")
     platform.run(0.05)
     assert platform.node.calls.by_id
-    if how == "gives up":
+    if how == "cancels":
         end.stream.write(release(call, Cause.NORMAL_CLEARING))
     else:
         end.stream.close() if how == "closes" else end.stream.abort()
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -107,7 +107,7 @@
     return number.to_bytes(8)
 
 
-@pytest.mark.parametrize("gone", ["closed", "shut", "reset", "taken back"])
+@pytest.mark.parametrize("gone", ["closed", "shut", "reset", "cancelled"])
 def test_few_of_hundreds_of_set_ups_are_submitted_if_their_viewer_has_left(gone):
     bench = Bench()
     bench.turn()
@@ -115,7 +115,7 @@
     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
     calls = [numbered(number) for number in range(1, 301)]
     viewer.sendall(b"".join(map(set_up, calls)))
-    if gone == "taken back":
+    if gone == "cancelled":
         viewer.sendall(b"".join(release(call, Cause.NORMAL_CLEARING) for call in calls))
     elif gone == "shut":
         viewer.shutdown(socket.SHUT_WR)
@@ -124,7 +124,7 @@
             viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.close()
     bench.until(lambda: bench.node.viewers.connections)
-    if gone == "taken back":
+    if gone == "cancelled":
         assert all(message.kind == Kind.HEARD for message in bench.answers(viewer, 300))
     else:
         bench.until(lambda: not bench.node.viewers.connections)
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -52,9 +52,9 @@
 
 
 KNOWN = {  # known events of the new configuration, and the sequence number requested from the new log
-    "as at the start": ((1, news(1, entry("a"), entry("b"), entry("c"), full=True)), "2"),
+    "the list of the start": ((1, news(1, entry("a"), entry("b"), entry("c"), full=True)), "2"),
     "nothing": ((0,), "2"),
-    "more than was heard": ((3, news(2, entry("a", "Terminating")), news(3, entry("b", "Terminating"))), "3"),
+    "newer events": ((3, news(2, entry("a", "Terminating")), news(3, entry("b", "Terminating"))), "3"),
 }
 
 
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -70,7 +70,7 @@
         self.closed_by = reason
 
 
-@pytest.mark.parametrize("kill", ["at the accept", "in the backlog", "unanswered", "once it stands"])
+@pytest.mark.parametrize("kill", ["after the accept", "in the backlog", "unanswered", "with sessions playing"])
 def test_a_process_killed_after_an_accept_is_replaced_by_a_ready_one(tmp_path, monkeypatch, kill):
     """Fails without SO_REUSEADDR (the next process cannot listen), if readiness waits for the change log, and
     if the handover of a playing session is treated as a new set-up, which runs it twice."""
@@ -90,7 +90,7 @@
         numbers = range(first, first + 6)
         return [Viewer(loop, port, set_up(number.to_bytes(8), "paid", **change)) for number in numbers]
 
-    monkeypatch.setattr(Host, "plays", kill == "once it stands")
+    monkeypatch.setattr(Host, "plays", kill == "with sessions playing")
     listed = entry("a", addr=f"127.0.0.1:{loop.listen('127.0.0.1', 0, accept).port}")
     path = config(tmp_path / "n.json", port, known={"seq": 1, "results": [news(1, listed, full=True)]})
     process = start(path)
@@ -105,21 +105,21 @@
         until_seen(lambda: all(each.is_open for each in asked + halves))
         if kill == "unanswered":
             until_seen(lambda: len(set_ups) == 6)
-        elif kill == "once it stands":
+        elif kill == "with sessions playing":
             until_seen(lambda: all(each.read for each in asked))
         process.kill()
         process.wait()
         process = start(path)
         until_seen(lambda: all(each.closed_by for each in asked + halves + hosts))
         heard = [message.kind for each in asked + halves for message in each.read]
-        assert heard == ([Kind.ANSWER] * 6 if kill == "once it stands" else [])
+        assert heard == ([Kind.ANSWER] * 6 if kill == "with sessions playing" else [])
         until(process, "serving")
         monkeypatch.setattr(Host, "plays", True)
         new = [Viewer(loop, port, messages.test(bytes(8))), *viewers(101)]
         until_seen(lambda: all(each.read for each in new))
         assert new[0].read[0].kind == Kind.TESTED and new[0].read[0].cause == 1
         assert {each.read[0].kind for each in new[1:]} == {Kind.ANSWER}
-        if kill == "once it stands":  # the viewers hand over the playing sessions; the host ends them
+        if kill == "with sessions playing":  # the viewers hand over the playing sessions; the host ends them
             told = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
             until_seen(lambda: all(each.is_open for each in told))
             loop.run(loop.now() + 200_000)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -131,17 +131,17 @@
     "no title": {"title": None},
     "title not in hex": {"title": "z" * 16},
     "no description": {"description": None},
-    "patience that is no number": {"patience": "soon"},
-    "patience beyond the class": {"ms": 600_000},
-    "no patience left": {"ms": 0},
+    "timeout that is not a number": {"patience": "soon"},
+    "timeout above the limit of the class": {"ms": 600_000},
+    "timeout of 0": {"ms": 0},
     "negative hint": {"hint": "-5"},
     "hint not a number": {"hint": "nan"},
-    "hint without end": {"hint": "1e400"},
+    "infinite hint": {"hint": "1e400"},
     "copies below one": {"figures": "home:0;copies:0;top:1"},
     "home with a fraction": {"figures": "home:0.5;copies:1;top:1"},
     "no figures": {"figures": None},
     "no copies": {"figures": "home:0;top:1"},
-    "figures twice": {"figures": "home:0;home:1"},
+    "duplicate figure": {"figures": "home:0;home:1"},
     "figures without a colon": {"figures": "home"},
 }
 
@@ -162,11 +162,11 @@
 NOISE = {
     "noise": b"GET / HTTP/1.1\r\n\r\n",
     "length 0": bytes(40),
-    "length over the most": b"\x40\x01\x01" + bytes(60_000),
-    "type that is none": b"\x00\x09\x63" + bytes(8),
+    "length above the limit": b"\x40\x01\x01" + bytes(60_000),
+    "unknown type": b"\x00\x09\x63" + bytes(8),
     "a message that never ends": b"\x30\x00\x01" + bytes(100),
     "nothing at all": b"",
-    "parameters beyond their message": b"\x00\x0c\x01" + bytes(8) + b"\x10\xff\xff",
+    "parameter beyond the end of its message": b"\x00\x0c\x01" + bytes(8) + b"\x10\xff\xff",
     "an answer from a viewer": encode(Kind.ANSWER, bytes(8)),
 }
 
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -133,7 +133,7 @@
     "settings that lack a key": ({"settings": SETTINGS | {"familyInfo": {}}}, "levelKb"),
     "seed not in hex": ({"seed": "zz"}, "zz"),
     "listen without a port": ({"listen": "127.0.0.1"}, "127.0.0.1"),
-    "sockets that are no number": ({"limits": {"sockets": "many"}}, "sockets"),
+    "sockets that is not a number": ({"limits": {"sockets": "many"}}, "sockets"),
 }
 
 
