--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -70,7 +70,9 @@
         self.closed_by = reason
 
 
-@pytest.mark.parametrize("kill", ["after the accept", "in the backlog", "unanswered", "with sessions playing"])
+@pytest.mark.parametrize(
+    "kill", ["after the accept", "in the backlog", "unanswered", "with sessions playing"]
+)
 def test_a_process_killed_after_an_accept_is_replaced_by_a_ready_one(tmp_path, monkeypatch, kill):
     """Fails without SO_REUSEADDR (the next process cannot listen), if readiness waits for the change log, and
     if the handover of a playing session is treated as a new set-up, which runs it twice."""
