--- a/mintmast/signalling/configuration.py
+++ b/mintmast/signalling/configuration.py
@@ -16,7 +16,7 @@
     `again` is set if a lack of file descriptors kept the file from being read, so that a retry may succeed.
     """
 
-    again = False
+    is_retryable = False
 
 
 class _Limits(msgspec.Struct):
@@ -50,7 +50,7 @@
     idle_close: int = 30_000_000
 
 
-class Names(msgspec.Struct):
+class AdapterSettings(msgspec.Struct):
     """The part of the settings that this adapter uses: names, and transport timeouts in µs."""
 
     services: list[_Named]
@@ -60,7 +60,7 @@
     caps: _Caps = _Caps()
 
 
-class Entry(msgspec.Struct):
+class HostEntry(msgspec.Struct):
     """One host of the list; `started_ms` is Unix time, and 0 if the start is not known."""
 
     id: str
@@ -73,11 +73,11 @@
     started_ms: int = 0
 
 
-class Fleet(msgspec.Struct):
+class FleetUpdate(msgspec.Struct):
     """A full host list, or the entries that changed."""
 
     version: int
-    servers: list[Entry]
+    servers: list[HostEntry]
     full: bool = False
 
 
@@ -87,18 +87,18 @@
         with open(path, "rb") as file:
             config = msgspec.json.decode(file.read(), type=Config)
         int(config.seed, 16)
-        address_of(config.listen)
-        address_of(config.changelog)
+        parse_address(config.listen)
+        parse_address(config.changelog)
     except OSError as error:
         fault = ConfigError(f"{path}: {error.strerror}")
-        fault.again = error.errno in (errno.EMFILE, errno.ENFILE)
+        fault.is_retryable = error.errno in (errno.EMFILE, errno.ENFILE)
         raise fault from None
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from None
     return config
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse an address such as `10.0.0.4:5060` into host and port. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -11,24 +11,24 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-_HEAD = struct.Struct(">HB8s")
+_HEADER = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
 # smallest length field (type and call reference) and the largest that the protocol allows
-_LEAST, MOST = 9, 16_384
+_MIN_LENGTH, MAX_MESSAGE_BYTES = 9, 16_384
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """Message types; a message that ISUP (ITU-T Q.763) has too carries the same code."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12  # before the answer: refuses, fails or cancels the set-up
-    HEARD = 16  # acknowledges a release
+    RELEASE_COMPLETE = 16  # acknowledges a release
     NOTE = 44
     MOVE = 51
-    TEST = 52
-    TESTED = 53
+    HEALTH_CHECK = 52
+    HEALTH_CHECK_REPLY = 53
     RUNG = 60
 
 
@@ -36,17 +36,17 @@
     """Parameter codes."""
 
     CLASS = 16
-    PATIENCE = 18  # ms for which the sender waits for the answer
+    TIMEOUT = 18  # ms for which the sender waits for the answer
     TENANT = 20
     RETRY = 22
     TITLE = 24
-    FIGURES = 26  # such as home:3;copies:2;top:5
-    STAY_AWAY = 28  # ms
-    NOTE = 30
+    PLACEMENT = 26  # such as home:3;copies:2;top:5
+    RETRY_AFTER = 28  # ms
+    NOTE_NAME = 30
     LOAD = 34
-    HINT = 36  # ms
+    LENGTH_HINT = 36  # ms
     RUNG = 38
-    FIGURE = 40
+    NOTE_VALUE = 40
     CAUSE = 44
     DESCRIPTION = 46
 
@@ -68,7 +68,7 @@
     PROTOCOL_ERROR = 111
 
 
-_KINDS = frozenset(Kind)
+_KINDS = frozenset(MessageKind)
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,7 +76,7 @@
     """A decoded message; `call` is its call reference. If `fault` is set, its parameters were malformed."""
 
     kind: int
-    call: bytes
+    call_id: bytes
     params: dict[int, bytes]
     fault: Cause | None = None
 
@@ -96,45 +96,47 @@
         return text if value is not None and text.isprintable() else None
 
 
-def encode(kind: Kind, call: bytes, params: Iterable[tuple[Param, bytes]] = ()) -> bytes:
+def encode(kind: MessageKind, call_id: bytes, params: Iterable[tuple[Param, bytes]] = ()) -> bytes:
     """Encode a message. Raises ValueError if it would be too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in params)
-    if len(body) + _LEAST > MOST:
-        raise ValueError(f"message of {len(body) + _LEAST} bytes exceeds the limit of {MOST}")
-    return _HEAD.pack(len(body) + _LEAST, kind, call) + body
+    if len(body) + _MIN_LENGTH > MAX_MESSAGE_BYTES:
+        raise ValueError(
+            f"message of {len(body) + _MIN_LENGTH} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
+        )
+    return _HEADER.pack(len(body) + _MIN_LENGTH, kind, call_id) + body
 
 
-def release(call: bytes, cause: Cause | int, stay_away: int = 0) -> bytes:
+def encode_release(call_id: bytes, cause: Cause | int, retry_after_ms: int = 0) -> bytes:
     """Encode a release; `stay_away` is the retry advice in ms, 0 for none."""
     params = [(Param.CAUSE, bytes((cause,)))]
-    if stay_away > 0:
-        params.append((Param.STAY_AWAY, b"%d" % stay_away))
-    return encode(Kind.RELEASE, call, params)
+    if retry_after_ms > 0:
+        params.append((Param.RETRY_AFTER, b"%d" % retry_after_ms))
+    return encode(MessageKind.RELEASE, call_id, params)
 
 
-def test(call: bytes) -> bytes:
+def encode_health_check(call_id: bytes) -> bytes:
     """Encode a health check of the connection."""
-    return encode(Kind.TEST, call, [(Param.CAUSE, b"\0")])
+    return encode(MessageKind.HEALTH_CHECK, call_id, [(Param.CAUSE, b"\0")])
 
 
-def tested(call: bytes, passed: bool) -> bytes:
+def encode_health_check_reply(call_id: bytes, passed: bool) -> bytes:
     """Encode the reply to a health check."""
-    return encode(Kind.TESTED, call, [(Param.CAUSE, b"\1" if passed else b"\0")])
+    return encode(MessageKind.HEALTH_CHECK_REPLY, call_id, [(Param.CAUSE, b"\1" if passed else b"\0")])
 
 
-class Reader:
+class MessageReader:
     """Incremental decoder for one connection; `broken` once the framing is lost."""
 
-    __slots__ = ("_rest", "broken")
+    __slots__ = ("_buffer", "is_broken")
 
     def __init__(self) -> None:
-        self._rest = b""
-        self.broken = False
+        self._buffer = b""
+        self.is_broken = False
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Return whether an incomplete message is buffered."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message]:
         """Decode received bytes and return the messages that they complete.
@@ -142,34 +144,36 @@
         Never buffers more than one message of the largest length, whatever length a peer announces. An
         invalid length or type is detected as soon as its bytes arrive.
         """
-        if self.broken:
+        if self.is_broken:
             return []
-        data = self._rest + data if self._rest else data
-        at, end, messages = 0, len(data), []
-        while end - at >= 2:
-            size = data[at] << 8 | data[at + 1]
-            if not _LEAST <= size <= MOST or (end - at > 2 and data[at + 2] not in _KINDS):
-                self.broken = True
+        data = self._buffer + data if self._buffer else data
+        offset, end, messages = 0, len(data), []
+        while end - offset >= 2:
+            size = data[offset] << 8 | data[offset + 1]
+            if not _MIN_LENGTH <= size <= MAX_MESSAGE_BYTES or (
+                end - offset > 2 and data[offset + 2] not in _KINDS
+            ):
+                self.is_broken = True
                 break
-            if end - at < size + 2:
+            if end - offset < size + 2:
                 break
-            messages.append(_message(data, at, at + 2 + size))
-            at += 2 + size
-        self._rest = b"" if self.broken else data[at:]
+            messages.append(_parse_message(data, offset, offset + 2 + size))
+            offset += 2 + size
+        self._buffer = b"" if self.is_broken else data[offset:]
         return messages
 
 
-def _message(data: bytes, at: int, end: int) -> Message:
-    _, kind, call = _HEAD.unpack_from(data, at)
-    at += _HEAD.size
+def _parse_message(data: bytes, offset: int, end: int) -> Message:
+    _, kind, call_id = _HEADER.unpack_from(data, offset)
+    offset += _HEADER.size
     params: dict[int, bytes] = {}
-    while at < end:
-        if end - at < _PARAMETER.size:
-            return Message(kind, call, {}, Cause.INVALID_MESSAGE)
-        code, size = _PARAMETER.unpack_from(data, at)
-        at += _PARAMETER.size
-        if size > end - at or code in params:
-            return Message(kind, call, {}, Cause.INVALID_MESSAGE)
-        params[code] = data[at : at + size]
-        at += size
-    return Message(kind, call, params)
+    while offset < end:
+        if end - offset < _PARAMETER.size:
+            return Message(kind, call_id, {}, Cause.INVALID_MESSAGE)
+        code, size = _PARAMETER.unpack_from(data, offset)
+        offset += _PARAMETER.size
+        if size > end - offset or code in params:
+            return Message(kind, call_id, {}, Cause.INVALID_MESSAGE)
+        params[code] = data[offset : offset + size]
+        offset += size
+    return Message(kind, call_id, params)
