--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -16,7 +16,7 @@
 from mintmast.decisions.calls import calls as c
 from mintmast.decisions.calls.calls import Calls
 from mintmast.signalling import set_up_parser
-from mintmast.signalling.messages import MessageKind, Param, MessageReader, encode, encode_release
+from mintmast.signalling.messages import MessageKind, MessageReader, Param, encode, encode_release
 
 SECOND = 1_000_000
 HOSTS, HELD = 14, 300
@@ -28,8 +28,10 @@
     instance=0, instances=2, zone=0, classes=CLASSES, tenants=(), over_share_worth=1.0,
     rung_kb=(200.0, 400.0, 900.0, 2000.0), rung_worth=(0.25, 0.5, 0.8, 1.0), links_kb=400_000.0,
     weight_kb=30_000.0, has_weights=False, kind_streams=(90,), cells=14, racks=2, uplink_kb=300_000.0,
-    guard=0.0, shared_adds=1.0, class_is_live=(False, False), stall_cost=7.0, change_costs_s=0.5, note_age=SECOND // 2,
-    notes_every=3 * SECOND, drain_grace=SECOND, warm_up=0, warm_up_from=1.0, overload_window=SECOND, overload_factor=2.5,
+    guard=0.0, shared_adds=1.0, class_is_live=(False, False), stall_cost=7.0, change_costs_s=0.5,
+    note_age=SECOND // 2,
+    notes_every=3 * SECOND, drain_grace=SECOND, warm_up=0, warm_up_from=1.0,
+    overload_window=SECOND, overload_factor=2.5,
     budget=None, max_attempts=5, max_retry_after=500_000, may_advise=True, may_cancel=True,
     must_subscribe=False, load_fields=("x0",),
 )  # fmt: skip
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -20,7 +20,7 @@
 import lmdb
 import msgspec
 
-from mintmast.decisions.gateways.records import Grant, StoredRecord, RecordKind, recover_state
+from mintmast.decisions.gateways.records import Grant, RecordKind, StoredRecord, recover_state
 from mintmast.store import Engine
 
 
--- a/mintmast/cli/store.py
+++ b/mintmast/cli/store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.records import Grant, Intent, StoredRecord, RecordKind, recover_state
+from mintmast.decisions.gateways.records import Grant, Intent, RecordKind, StoredRecord, recover_state
 from mintmast.store import Engine, StoreError
 
 
--- a/mintmast/decisions/gateways/membership_types.py
+++ b/mintmast/decisions/gateways/membership_types.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.revision_types import RevisionAnnounced
+from mintmast.decisions.gateways.gossip_messages import GossipMessage, ReplayWindow
 from mintmast.decisions.gateways.member_status import Liveness, MemberStatus
-from mintmast.decisions.gateways.gossip_messages import ReplayWindow, GossipMessage
+from mintmast.decisions.gateways.revision_types import RevisionAnnounced
 
 
 class PathState(Enum):
--- a/mintmast/decisions/hosts/list_handover.py
+++ b/mintmast/decisions/hosts/list_handover.py
@@ -7,7 +7,7 @@
 
 from mintmast import interface as api
 from mintmast.decisions.hosts.host_state import HostStates
-from mintmast.decisions.messages import UnwatchHost, ScheduleTimer, WatchHost
+from mintmast.decisions.messages import ScheduleTimer, UnwatchHost, WatchHost
 
 # of a long list, entries that the module gets in a turn, lines opened in a turn, and µs between two such
 # turns: a list of 10,000 is through in half a second, and viewers are answered meanwhile
--- a/mintmast/lab/scale/configuration.py
+++ b/mintmast/lab/scale/configuration.py
@@ -21,30 +21,30 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipWithDigest
 from mintmast.decisions.gateways.members import NO_REVISION, PROBE_PERIOD_US
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip, RevisionSummary
 from mintmast.decisions.gateways.revision_types import (
-    PullRevisions,
+    ActiveRevision,
     Command,
     Delta,
     Event,
-    RevisionId,
-    RevisionAnnounced,
-    ActiveRevision,
-    WriteRevision,
-    WriteFinished,
     OrderAnswered,
     Publish,
-    PullSucceeded,
     PullFailed,
+    PullRevisions,
+    PullSucceeded,
+    RevisionAnnounced,
+    RevisionId,
     RevisionReply,
+    ScheduleTimer,
     Stored,
     TimerFired,
-    ScheduleTimer,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.revision_gossip import RevisionGossip, RevisionSummary
-from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipWithDigest
 from mintmast.lab.scale.record import Row
 from mintmast.lab.spread import CALLED, DISK, FIRST, Spread, check
 
--- a/mintmast/lab/scale/fleet.py
+++ b/mintmast/lab/scale/fleet.py
@@ -11,8 +11,8 @@
 import random
 from collections.abc import Iterable, Sequence
 
-from mintmast.decisions.gateways.revision_types import Publish
 from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
+from mintmast.decisions.gateways.revision_types import Publish
 from mintmast.lab.crowd import SECOND, Crowd
 from mintmast.lab.scale.record import Row
 from mintmast.lab.spread import Spread
--- a/mintmast/lab/spread.py
+++ b/mintmast/lab/spread.py
@@ -14,27 +14,27 @@
 
 from mintmast.decisions.gateways import revision_types
 from mintmast.decisions.gateways.members import Members
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.decisions.gateways.revision_types import (
     EMPTY_PATCH,
-    PullRevisions,
-    PatchValidator,
-    Command,
-    RevisionId,
-    RevisionAnnounced,
     ActiveRevision,
-    WriteRevision,
-    WriteFinished,
+    Command,
+    LogEvent,
     OrderAnswered,
-    PullSucceeded,
+    PatchValidator,
     PullFailed,
+    PullRevisions,
+    PullSucceeded,
+    RevisionAnnounced,
+    RevisionId,
     RevisionReply,
-    LogEvent,
-    Stored,
     ScheduleTimer,
+    Stored,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.lab.crowd import Crowd
 
 # µs of a write to a disk
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,13 +7,13 @@
 from helpers import (
     T0,
     S,
-    server_entry,
+    action_names,
     attempt_end,
     make_controller,
-    action_names,
+    report_use,
     request,
+    server_entry,
     set_ups,
-    report_use,
 )
 
 from mintmast import decide
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -7,11 +7,11 @@
 from helpers import (
     T0,
     S,
-    server_entry,
+    action_names,
     attempt_end,
     make_controller,
-    action_names,
     request,
+    server_entry,
     set_ups,
     settings,
 )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,27 +9,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mintmast.decisions.gateways import members, member_status
-from mintmast.decisions.gateways.members import Members
-from mintmast.decisions.gateways.membership_types import ForgetMember, GossipReceived, PathState
+from mintmast.decisions.gateways import member_status, members
+from mintmast.decisions.gateways.gossip_messages import (
+    GossipKind,
+    GossipMessage,
+    GossipWithDigest,
+    MemberUpdate,
+    ReplayWindow,
+    hash_status,
+)
 from mintmast.decisions.gateways.member_status import (
     MEMBER_POLICIES,
     Liveness,
-    MemberStatus,
     MemberState,
+    MemberStatus,
+    apply_refusal,
     count_live,
     merge_status,
-    apply_refusal,
     refute,
 )
-from mintmast.decisions.gateways.gossip_messages import (
-    GossipKind,
-    MemberUpdate,
-    GossipWithDigest,
-    ReplayWindow,
-    GossipMessage,
-    hash_status,
-)
+from mintmast.decisions.gateways.members import Members
+from mintmast.decisions.gateways.membership_types import ForgetMember, GossipReceived, PathState
 from mintmast.lab.crowd import SECOND, Audit, Crowd, weather
 
 STANDINGS = st.builds(MemberStatus, st.integers(0, 3), st.integers(0, 3), st.sampled_from(MemberState))
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from mintmast.cli import main
+from mintmast.decisions.gateways.gossip_messages import MAX_UPDATES, GossipKind, GossipMessage, MemberUpdate
 from mintmast.decisions.gateways.member_status import Liveness
-from mintmast.decisions.gateways.gossip_messages import MAX_UPDATES, GossipKind, MemberUpdate, GossipMessage
 from mintmast.http.server import HttpServer
 from mintmast.lab.drills.day import Day, model
 from mintmast.lab.drills.day import settings as day_settings
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient
 from mintmast.http.server import HttpServer
 from mintmast.lab import drills
 from mintmast.lab.audit import Findings
@@ -82,7 +82,8 @@
     exchange_.respond(200, [], b"y" * 300)
 
 
-WAYS = {"plain": PathConditions(), "late": PathConditions(extra_delay=100_000), "cut": PathConditions(is_cut=True), "swallows": PathConditions(is_black_hole=True),
+WAYS = {"plain": PathConditions(), "late": PathConditions(extra_delay=100_000),
+    "cut": PathConditions(is_cut=True), "swallows": PathConditions(is_black_hole=True),
         "short": PathConditions(truncation=1.0)}  # fmt: skip
 
 
