--- a/mintmast/signalling/hostconnection.py
+++ b/mintmast/signalling/hostconnection.py
@@ -10,14 +10,14 @@
 from mintmast.loop import CloseReason, Handler, Stream, Timer
 from mintmast.signalling.messages import (
     Cause,
-    MessageKind,
     Message,
-    Param,
+    MessageKind,
     MessageReader,
+    Param,
     encode,
-    encode_release,
     encode_health_check,
     encode_health_check_reply,
+    encode_release,
 )
 
 if TYPE_CHECKING:
--- a/mintmast/signalling/hosts.py
+++ b/mintmast/signalling/hosts.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from mintmast.decisions.outcomes import Evidence
-from mintmast.loop import CloseReason, StreamLimits, Loop
+from mintmast.loop import CloseReason, Loop, StreamLimits
 from mintmast.signalling.hostconnection import Attempt, HostConnection
 from mintmast.signalling.messages import Cause, MessageKind, Param, encode, encode_release
 
--- a/mintmast/signalling/node.py
+++ b/mintmast/signalling/node.py
@@ -20,19 +20,19 @@
 from mintmast.decisions.outcomes import Evidence
 from mintmast.loop import Loop
 from mintmast.loop.real import SelectorLoop, tune_garbage_collector
-from mintmast.signalling.set_up_parser import US_PER_MS, ParsedSetUp, RequestSchema, parse_number
 from mintmast.signalling.changelog import ChangeLog
 from mintmast.signalling.configuration import (
+    AdapterSettings,
     Config,
     ConfigError,
-    HostEntry,
     FleetUpdate,
-    AdapterSettings,
+    HostEntry,
     parse_address,
     read_config,
 )
 from mintmast.signalling.hosts import HostLimits, MediaHosts
 from mintmast.signalling.messages import Cause, MessageKind, Param, encode, encode_release
+from mintmast.signalling.set_up_parser import US_PER_MS, ParsedSetUp, RequestSchema, parse_number
 from mintmast.signalling.viewers import STREAM_LIMITS, Viewers
 from mintmast.telemetry.lines import MAX_LINES_PER_SECOND, LogFunction, make_log_function
 
--- a/mintmast/signalling/viewerconnection.py
+++ b/mintmast/signalling/viewerconnection.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from mintmast.loop import CloseReason, Handler, Stream
-from mintmast.signalling import set_up_parser, messages
+from mintmast.signalling import messages, set_up_parser
+from mintmast.signalling.messages import Cause, Message, MessageKind, MessageReader, encode, encode_release
 from mintmast.signalling.set_up_parser import ParsedSetUp
-from mintmast.signalling.messages import Cause, MessageKind, Message, MessageReader, encode, encode_release
 
 if TYPE_CHECKING:
     from mintmast.signalling.viewers import Viewers
--- a/mintmast/signalling/viewers.py
+++ b/mintmast/signalling/viewers.py
@@ -5,9 +5,9 @@
 from collections import deque
 from typing import Protocol
 
-from mintmast.loop import Handler, StreamLimits, Loop, Timer
-from mintmast.signalling.set_up_parser import ParsedSetUp, RequestSchema
+from mintmast.loop import Handler, Loop, StreamLimits, Timer
 from mintmast.signalling.messages import Cause, MessageKind, Param, encode, encode_release
+from mintmast.signalling.set_up_parser import ParsedSetUp, RequestSchema
 from mintmast.signalling.viewerconnection import MESSAGE_TIMEOUT_US, UnconfirmedMessage, ViewerConnection
 from mintmast.telemetry.lines import LogFunction
 
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -5,7 +5,7 @@
 from mintmast.loop.base import Handler
 from mintmast.loop.memory import World
 from mintmast.signalling import messages
-from mintmast.signalling.messages import Cause, MessageKind, Param, MessageReader, encode, encode_release
+from mintmast.signalling.messages import Cause, MessageKind, MessageReader, Param, encode, encode_release
 from mintmast.signalling.node import Config, Node
 
 MS = 1000
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,6 +1,6 @@
 """Property tests of the call state machine: duplicate, late and crossing messages, and complete clean-up."""
 
-from helpers import T0, S, server_entry, make_controller
+from helpers import T0, S, make_controller, server_entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -8,11 +8,11 @@
 from mintmast.decisions.calls import calls as c
 from mintmast.decisions.calls.calls import (
     TRANSITIONS,
-    Calls,
-    OutgoingMessage,
     CallEvent,
+    Calls,
     CallState,
     ControllerEvent,
+    OutgoingMessage,
     ViewerRequest,
 )
 from mintmast.decisions.outcomes import OUTCOME_TABLE as OUTCOMES
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -16,7 +16,7 @@
 from mintmast.loop.real import SelectorLoop
 from mintmast.signalling import messages
 from mintmast.signalling import node as node_module
-from mintmast.signalling.messages import Cause, MessageKind, Param, MessageReader, encode, encode_release
+from mintmast.signalling.messages import Cause, MessageKind, MessageReader, Param, encode, encode_release
 from mintmast.signalling.node import Config, Node
 from mintmast.telemetry.lines import make_log_function
 
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -27,7 +27,7 @@
 from test_crossings import news_of
 from test_crossings_sockets import Bench, numbered
 from test_node import one_answer
-from test_node_process import write_config, free_port, start_process, wait_for_event
+from test_node_process import free_port, start_process, wait_for_event, write_config
 
 from mintmast.loop import Handler
 from mintmast.loop.memory import EPOCH_S
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,10 +9,10 @@
 from mintmast.signalling.messages import (
     MAX_MESSAGE_BYTES,
     Cause,
-    MessageKind,
     Message,
-    Param,
+    MessageKind,
     MessageReader,
+    Param,
     encode,
     encode_release,
 )
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -4,7 +4,7 @@
 import time
 
 from platform_world import SETTINGS, host_entry, list_event, play, set_up
-from test_node_process import write_config, free_port, start_process, wait_for_event
+from test_node_process import free_port, start_process, wait_for_event, write_config
 
 from mintmast.loop import Handler
 from mintmast.loop.real import SelectorLoop
