--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -30,69 +30,71 @@
 
 
 class Peer(Handler):
-    """One end of a connection; records the messages it receives and passes each to `on`."""
+    """One end of a connection; records the messages it receives and passes each to `on_message`."""
 
-    def __init__(self, on=None):
-        self.on, self.stream, self.closed_by = on, None, None
-        self.read, self.reader = [], MessageReader()
+    def __init__(self, on_message=None):
+        self.on_message, self.stream, self.closed_by = on_message, None, None
+        self.messages, self.reader = [], MessageReader()
 
     def opened(self, stream):
         self.stream = stream
 
     def received(self, data):
         for message in self.reader.feed(data):
-            self.read.append(message)
-            if self.on:
-                self.on(self, message)
+            self.messages.append(message)
+            if self.on_message:
+                self.on_message(self, message)
 
     def closed(self, reason):
         self.closed_by = reason
 
-    def of(self, call, kind=None):
-        return [m for m in self.read if m.call_id == call and kind in (None, m.kind)]
+    def messages_for(self, call, kind=None):
+        return [m for m in self.messages if m.call_id == call and kind in (None, m.kind)]
 
 
 class Host:
-    """A media host; `script` handles each set-up, `ends` lists its connections."""
+    """A media host; `script` handles each set-up, `connections` lists its connections."""
 
     def __init__(self, platform, name, script=None):
         self.platform, self.name, self.script = platform, name, script or play
-        self.ends, self.set_ups, self.cuts = [], [], []
-        self.home, self.again = {}, []
-        self.up()
+        self.connections, self.set_ups, self.releases = [], [], []
+        self.connection_of, self.unconfirmed_ends = {}, []
+        self.listen()
 
-    def up(self):
+    def listen(self):
         self.node = self.platform.world.node(self.name)
         self.node.listen(self.name, 5060, self.accept)
 
     def accept(self):
-        self.ends.append(Peer(self.take))
-        again, self.again = self.again, []
-        for call, cause in again:
-            self.platform.world.at(self.platform.now() + 1000, self.tell, self.ends[-1], call, cause)
-        return self.ends[-1]
-
-    def tell(self, end, call, cause):
-        end.stream.write(encode_release(call, cause))
-
-    def end(self, call, cause=Cause.NORMAL_CLEARING):
+        self.connections.append(Peer(self.handle_message))
+        ends, self.unconfirmed_ends = self.unconfirmed_ends, []
+        for call, cause in ends:
+            self.platform.world.at(
+                self.platform.now() + 1000, self.send_release, self.connections[-1], call, cause
+            )
+        return self.connections[-1]
+
+    def send_release(self, connection, call, cause):
+        connection.stream.write(encode_release(call, cause))
+
+    def end_session(self, call, cause=Cause.NORMAL_CLEARING):
         """Release a session on the connection of its set-up, and again on the next connection that opens."""
-        self.again.append((call, cause))
-        home = self.home[call]
-        self.tell(home if home.closed_by is None else self.live()[-1], call, cause)
+        self.unconfirmed_ends.append((call, cause))
+        own = self.connection_of[call]
+        self.send_release(own if own.closed_by is None else self.open_connections()[-1], call, cause)
 
-    def take(self, end, message):
+    def handle_message(self, end, message):
         if message.kind == MessageKind.HEALTH_CHECK:
             end.stream.write(messages.encode_health_check_reply(message.call_id, True))
         elif message.kind == MessageKind.SET_UP:
             self.set_ups.append((self.platform.now(), message))
-            self.home[message.call_id] = end
+            self.connection_of[message.call_id] = end
             self.script(self, end, message)
         elif message.kind == MessageKind.RELEASE:
-            self.cuts.append(message.call_id)
+            self.releases.append(message.call_id)
 
-    def live(self):
-        return [end for end in self.ends if end.closed_by is None]
+    def open_connections(self):
+        return [end for end in self.connections if end.closed_by is None]
 
 
 def play(host, end, message):
@@ -109,20 +111,20 @@
     pass
 
 
-class Log(Handler):
+class ChangeLogServer(Handler):
     """The change log server; records the `Last-Event-ID` of each request."""
 
     def __init__(self, platform):
-        self.platform, self.asked, self.streams, self.events = platform, [], [], []
-        self.quiet = False
-        platform.world.node("log").listen("log", 2379, lambda: _Asker(self))
+        self.platform, self.requested_ids, self.streams, self.events = platform, [], [], []
+        self.is_silent = False
+        platform.world.node("log").listen("log", 2379, lambda: _ChangeLogConnection(self))
 
-    def tell(self, data):
+    def send(self, data):
         for stream in self.streams:
             stream.write(data)
 
 
-class _Asker(Handler):
+class _ChangeLogConnection(Handler):
     def __init__(self, log):
         self.log, self.stream = log, None
 
@@ -131,13 +133,13 @@
 
     def received(self, data):
         lines = data.decode().split("\r\n")
-        self.log.asked.append(next(line[15:] for line in lines if line.startswith("Last-Event-ID: ")))
+        self.log.requested_ids.append(next(line[15:] for line in lines if line.startswith("Last-Event-ID: ")))
         self.stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         self.log.streams.append(self.stream)
         self.comment()
 
     def comment(self):
-        if not self.log.quiet:
+        if not self.log.is_silent:
             self.stream.write(b": here\n\n")
         self.log.platform.world.at(self.log.platform.now() + SECOND, self.comment)
 
@@ -165,7 +167,7 @@
     def __init__(self, *names, seed=1, script=None, sockets=256, settings=SETTINGS):
         self.world = World(seed)
         self.hosts = {name: Host(self, name, script) for name in names}
-        self.log = Log(self)
+        self.log = ChangeLogServer(self)
         known = {"seq": 1, "results": [list_event(1, *map(host_entry, names), full=True)]}
         self.config = msgspec.convert(
             {"name": "n0", "listen": "gw:5060", "seed": "1f", "limits": {"sockets": sockets}}
@@ -173,10 +175,12 @@
             | {"settings": msgspec.Raw(msgspec.json.encode(settings))},
             Config,
         )
-        self.said = []
+        self.log_lines = []
         self.gateway = self.world.node("gw")
         self.front = self.world.node("front")
-        self.node = Node(self.gateway, self.config, lambda event, **fields: self.said.append((event, fields)))
+        self.node = Node(
+            self.gateway, self.config, lambda event, **fields: self.log_lines.append((event, fields))
+        )
         self.count = 0
         self.run(0.01)
 
@@ -192,7 +196,7 @@
         self.run(0.005)
         return end
 
-    def ask(self, end, service="free", ms=3000, **change):
+    def send_set_up(self, end, service="free", ms=3000, **change):
         """Send a set-up and return its call reference."""
         self.count += 1
         call = self.count.to_bytes(8)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 MS = 1000
 
 
-def told(platform, call, host="a", **change):
+def handover(platform, call, host="a", **change):
     figures = f"home:0;copies:4;top:2;at:id-{host}"
     return set_up(call, figures=figures, ms=None, description=None, **change)
 
@@ -36,7 +36,7 @@
     platform = Platform("a", settings=SETTINGS | {"services": services, "accounts": tenants})
     end = platform.viewer()
     for name in ("žuti sloj/α", "ф"):
-        call = platform.ask(end, name, tenant="øy tv")
+        call = platform.send_set_up(end, name, tenant="øy tv")
         platform.run(0.1)
         assert one_answer(end, call).kind == MessageKind.ANSWER
         assert platform.hosts["a"].set_ups[-1][1].params[Param.CLASS] == name.encode()
@@ -53,7 +53,7 @@
     for name in "ab":
         platform.world.extra_delays["gw", name] = 100 * MS
     end = platform.viewer()
-    call = platform.ask(end, "paid")
+    call = platform.send_set_up(end, "paid")
     platform.run(0.05)
     assert platform.node.calls.by_id
     if how == "cancels":
@@ -70,11 +70,11 @@
 def test_no_retry_begins_after_the_viewer_has_left():
     platform = Platform("a", "b", script=silent)
     end = platform.viewer()
-    call = platform.ask(end, "free")
+    call = platform.send_set_up(end, "free")
     platform.run(0.1)
     first = next(host for host in platform.hosts.values() if host.set_ups)
     end.stream.close()
-    first.live()[-1].stream.write(encode_release(call, Cause.RESOURCE_UNAVAILABLE))
+    first.open_connections()[-1].stream.write(encode_release(call, Cause.RESOURCE_UNAVAILABLE))
     platform.run(2)
     assert sum(len(host.set_ups) for host in platform.hosts.values()) == 1
     assert not platform.node.calls.by_id and not platform.node.calls.controller.sessions
@@ -83,16 +83,16 @@
 # Messages on connections that close
 
 
-class Narrow:
-    """A stream whose network accepts `takes` bytes and no more."""
+class LimitedStream:
+    """A stream whose network accepts `limit` bytes and no more."""
 
     peer = ("front", 1)
 
-    def __init__(self, takes):
-        self.takes, self.bytes_sent, self.sent = takes, 0, b""
+    def __init__(self, limit):
+        self.limit, self.bytes_sent, self.sent = limit, 0, b""
 
     def write(self, data):
-        taken = data[: max(0, self.takes - self.bytes_sent)]
+        taken = data[: max(0, self.limit - self.bytes_sent)]
         self.sent += taken
         self.bytes_sent += len(taken)
         return True
@@ -106,132 +106,134 @@
     close = finish = abort = pause
 
 
-def line_with_session(platform, takes=1 << 20):
+def connection_with_session(platform, limit=1 << 20):
     """Return a connection, and its stream, on which a session was set up."""
-    line, stream = platform.node.viewers.accept(), Narrow(takes)
-    line.opened(stream)
-    line.received(set_up(b"sessions"))
+    connection, stream = platform.node.viewers.accept(), LimitedStream(limit)
+    connection.opened(stream)
+    connection.received(set_up(b"sessions"))
     platform.run(0.1)
-    return line, stream
+    return connection, stream
 
 
-@pytest.mark.parametrize("takes, heard", [(19, False), (1 << 20, True)])
-def test_a_session_whose_answer_was_not_delivered_ends_with_the_connection(takes, heard):
+@pytest.mark.parametrize("limit, is_delivered", [(19, False), (1 << 20, True)])
+def test_a_session_whose_answer_was_not_delivered_ends_with_the_connection(limit, is_delivered):
     platform = Platform("a")
-    line, _ = line_with_session(platform, takes)
+    connection, _ = connection_with_session(platform, limit)
     assert platform.hosts["a"].set_ups
-    line.closed(CloseReason.RESET)
+    connection.closed(CloseReason.RESET)
     platform.run(0.1)
-    assert (b"sessions" in platform.node.calls.by_id) is heard
-    assert (b"sessions" in platform.hosts["a"].cuts) is not heard
+    assert (b"sessions" in platform.node.calls.by_id) is is_delivered
+    assert (b"sessions" in platform.hosts["a"].releases) is not is_delivered
 
 
 def test_a_session_end_is_sent_on_another_connection_if_its_own_is_closing():
     platform = Platform("a")
-    line, _ = line_with_session(platform)
+    connection, _ = connection_with_session(platform)
     end = platform.viewer()
-    platform.ask(end)
+    platform.send_set_up(end)
     platform.run(0.1)
-    line.close_with_error(Cause.PROTOCOL_ERROR, "for the test")
-    platform.hosts["a"].end(b"sessions")
+    connection.close_with_error(Cause.PROTOCOL_ERROR, "for the test")
+    platform.hosts["a"].end_session(b"sessions")
     platform.run(0.1)
-    assert end.of(b"sessions", MessageKind.RELEASE)
+    assert end.messages_for(b"sessions", MessageKind.RELEASE)
 
 
 def test_an_undelivered_session_end_is_sent_on_another_connection():
     platform = Platform("a")
-    line, stream = line_with_session(platform)
+    connection, stream = connection_with_session(platform)
     end = platform.viewer()
-    platform.ask(end)
+    platform.send_set_up(end)
     platform.run(0.1)
-    stream.takes = stream.bytes_sent + 3
-    platform.hosts["a"].end(b"sessions")
+    stream.limit = stream.bytes_sent + 3
+    platform.hosts["a"].end_session(b"sessions")
     platform.run(0.1)
-    assert not end.of(b"sessions")
-    line.closed(CloseReason.RESET)
+    assert not end.messages_for(b"sessions")
+    connection.closed(CloseReason.RESET)
     platform.run(0.1)
-    assert len(end.of(b"sessions", MessageKind.RELEASE)) == 1
+    assert len(end.messages_for(b"sessions", MessageKind.RELEASE)) == 1
 
 
 @pytest.mark.parametrize("by", ["viewer", "host"])
 def test_a_session_ended_on_another_connection_is_removed_from_its_own(by):
     platform = Platform("a")
     one, other = platform.viewer(), platform.viewer()
-    call = platform.ask(one)
+    call = platform.send_set_up(one)
     platform.run(0.1)
     if by == "viewer":
         other.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     else:
-        platform.hosts["a"].end(call, Cause.NORMAL_UNSPECIFIED)
+        platform.hosts["a"].end_session(call, Cause.NORMAL_UNSPECIFIED)
     platform.run(0.1)
     assert not platform.node.calls.by_id
-    assert not any(line.sessions for line in platform.node.viewers.connections.values())
+    assert not any(connection.sessions for connection in platform.node.viewers.connections.values())
 
 
 def test_a_release_is_sent_again_if_the_host_connection_breaks():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
     platform.world.extra_delays["gw", "a"] = 20 * MS
     end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(0.01)
-    assert not platform.node.calls.by_id and not host.cuts
+    assert not platform.node.calls.by_id and not host.releases
     platform.world.reset_connections("gw", "a")
     platform.run(1)
-    assert host.cuts == [call] and not platform.node.hosts.pools[b"id-a"].pending_releases
+    assert host.releases == [call] and not platform.node.hosts.pools[b"id-a"].pending_releases
 
 
 # Session handover
 
 
-def ready(platform):
+def hand_over_session(platform):
     """Pass the first health check, and hand over one session so that the gateway connects to its host."""
     end = platform.viewer()
     end.stream.write(encode(MessageKind.HEALTH_CHECK, bytes(8), [(Param.CAUSE, b"\0")]))
-    end.stream.write(told(platform, b"\1" * 8))
+    end.stream.write(handover(platform, b"\1" * 8))
     platform.run(0.5)
-    assert platform.hosts["a"].live()
+    assert platform.hosts["a"].open_connections()
     return end
 
 
 @pytest.mark.parametrize("cause", [Cause.NORMAL_CLEARING, Cause.TEMPORARY_FAILURE])
 def test_a_session_that_ends_at_its_host_before_its_handover_is_released_at_the_handover(cause):
     platform = Platform("a")
-    end = ready(platform)
-    platform.hosts["a"].live()[-1].stream.write(encode_release(b"\2" * 8, cause))
+    end = hand_over_session(platform)
+    platform.hosts["a"].open_connections()[-1].stream.write(encode_release(b"\2" * 8, cause))
     platform.run(0.1)
-    end.stream.write(told(platform, b"\2" * 8))
+    end.stream.write(handover(platform, b"\2" * 8))
     platform.run(0.1)
-    assert [message.cause for message in end.of(b"\2" * 8, MessageKind.RELEASE)] == [cause]
+    assert [message.cause for message in end.messages_for(b"\2" * 8, MessageKind.RELEASE)] == [cause]
     assert list(platform.node.calls.by_id) == [b"\1" * 8]
-    assert not any(b"\2" * 8 in line.sessions for line in platform.node.viewers.connections.values())
+    assert not any(
+        b"\2" * 8 in connection.sessions for connection in platform.node.viewers.connections.values()
+    )
 
 
 def test_a_session_that_its_viewer_ends_before_its_handover_is_released_at_its_host():
     platform = Platform("a")
-    end = ready(platform)
+    end = hand_over_session(platform)
     platform.viewer().stream.write(encode_release(b"\2" * 8, Cause.NORMAL_CLEARING))
     platform.run(0.1)
-    end.stream.write(told(platform, b"\2" * 8))
+    end.stream.write(handover(platform, b"\2" * 8))
     platform.run(0.1)
-    assert platform.hosts["a"].cuts == [b"\2" * 8] and list(platform.node.calls.by_id) == [b"\1" * 8]
-    assert not end.of(b"\2" * 8, MessageKind.RELEASE)
+    assert platform.hosts["a"].releases == [b"\2" * 8] and list(platform.node.calls.by_id) == [b"\1" * 8]
+    assert not end.messages_for(b"\2" * 8, MessageKind.RELEASE)
 
 
 def test_a_handover_repeated_after_the_session_end_is_rejected():
     platform = Platform("a")
-    end = ready(platform)
-    platform.hosts["a"].live()[-1].stream.write(encode_release(b"\1" * 8, Cause.NORMAL_CLEARING))
+    end = hand_over_session(platform)
+    platform.hosts["a"].open_connections()[-1].stream.write(encode_release(b"\1" * 8, Cause.NORMAL_CLEARING))
     platform.run(0.1)
-    end.stream.write(told(platform, b"\1" * 8))
+    end.stream.write(handover(platform, b"\1" * 8))
     platform.run(0.1)
-    assert not platform.node.calls.by_id and end.of(b"\1" * 8, MessageKind.RELEASE)
+    assert not platform.node.calls.by_id and end.messages_for(b"\1" * 8, MessageKind.RELEASE)
 
 
 def test_early_session_ends_are_bounded_and_expire():
     platform = Platform("a")
-    ready(platform)
+    hand_over_session(platform)
     for number in range(5000):
         platform.node.handle_release(b"id-a", number.to_bytes(8), 16, "")
     assert 1000 < len(platform.node._early_ends) < 5000
@@ -243,52 +245,52 @@
 # Address changes of hosts
 
 
-@pytest.mark.parametrize("seen", range(0, 60, 4))
-def test_a_set_up_is_never_sent_to_the_old_address_of_its_host(seen):
+@pytest.mark.parametrize("delay_ms", range(0, 60, 4))
+def test_a_set_up_is_never_sent_to_the_old_address_of_its_host(delay_ms):
     """The address changes during the connect, during the health check, and at instants between.
 
     Guards against a set-up that is written to the old address, which may be another host's by then.
     """
     platform = Platform("a", "z")
-    platform.log.tell(news_of(list_event(2, host_entry("z", "Gone"))))
+    platform.log.send(event_frame(list_event(2, host_entry("z", "Gone"))))
     platform.run(0.05)
     for way in (("gw", "a"), ("a", "gw")):
         platform.world.extra_delays[way] = 10 * MS
     end, old, new = platform.viewer(), platform.hosts["a"], platform.hosts["z"]
-    call = platform.ask(end, "paid")
-    platform.run(seen / 1000)
+    call = platform.send_set_up(end, "paid")
+    platform.run(delay_ms / 1000)
     if old.set_ups or b"\0" * 7 + b"\1" not in platform.node.calls.by_id:
         return
-    under_way = platform.node.hosts.pools[b"id-a"].attempts[call]
-    if under_way.end_offset is not None:  # sent to the old address before the change was known
+    attempt = platform.node.hosts.pools[b"id-a"].attempts[call]
+    if attempt.end_offset is not None:  # sent to the old address before the change was known
         return
-    platform.log.tell(news_of(list_event(3, host_entry("a", addr="z:5060"))))
+    platform.log.send(event_frame(list_event(3, host_entry("a", addr="z:5060"))))
     platform.run(1)
     assert not old.set_ups and len(new.set_ups) == 1
     assert one_answer(end, call).kind == MessageKind.ANSWER
 
 
-@pytest.mark.parametrize("gone_first", [True, False])
-@pytest.mark.parametrize("seen", range(0, 40, 4))
-def test_a_set_up_for_a_replaced_host_is_not_sent_to_the_host_at_its_address(seen, gone_first):
+@pytest.mark.parametrize("removed_first", [True, False])
+@pytest.mark.parametrize("delay_ms", range(0, 40, 4))
+def test_a_set_up_for_a_replaced_host_is_not_sent_to_the_host_at_its_address(delay_ms, removed_first):
     """Another host, which does not hold the title, takes over the address; its start may be listed first."""
     platform = Platform("a")
     for way in (("gw", "a"), ("a", "gw")):
         platform.world.extra_delays[way] = 10 * MS
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end, "paid", figures="home:0;copies:1;top:2")
-    platform.run(seen / 1000)
-    under_way = platform.node.hosts.pools[b"id-a"].attempts.get(call)
-    if under_way is None or under_way.end_offset is not None:
+    call = platform.send_set_up(end, "paid", figures="home:0;copies:1;top:2")
+    platform.run(delay_ms / 1000)
+    attempt = platform.node.hosts.pools[b"id-a"].attempts.get(call)
+    if attempt is None or attempt.end_offset is not None:
         return
     events = [host_entry("a", "Gone"), host_entry("n", addr="a:5060", cell=1)]
-    for seq, each in enumerate(events if gone_first else events[1:], 2):
-        platform.log.tell(news_of(list_event(seq, each)))
+    for seq, each in enumerate(events if removed_first else events[1:], 2):
+        platform.log.send(event_frame(list_event(seq, each)))
     platform.run(4)
     assert not host.set_ups and one_answer(end, call).cause == Cause.SWITCHING_EQUIPMENT_CONGESTION
 
 
-def news_of(event):
+def event_frame(event):
     return f"id: {event['seq']}\ndata: {json.dumps(event)}\n\n".encode()
 
 
@@ -297,17 +299,17 @@
 
 def test_a_change_log_whose_sequence_numbers_restart_is_followed_and_old_lists_are_ignored():
     platform = Platform("a")
-    platform.log.tell(news_of(list_event(2, host_entry("b"))))
-    platform.log.tell(news_of(list_event(3, host_entry("c"))))
+    platform.log.send(event_frame(list_event(2, host_entry("b"))))
+    platform.log.send(event_frame(list_event(3, host_entry("c"))))
     platform.run(0.1)
     listed = platform.node._listed_hosts
-    platform.log.tell(news_of(list_event(1, host_entry("a"), full=True)))
+    platform.log.send(event_frame(list_event(1, host_entry("a"), full=True)))
     platform.run(0.1)
     assert set(listed) == {b"id-a", b"id-b", b"id-c"}
     again = list_event(1, host_entry("d"), full=True)
     again["fleet"]["version"] = 4
-    platform.log.tell(news_of(again))
-    platform.log.tell(news_of(list_event(2, host_entry("e"))))
+    platform.log.send(event_frame(again))
+    platform.log.send(event_frame(list_event(2, host_entry("e"))))
     platform.run(0.1)
     assert set(listed) == {b"id-d", b"id-e"} and platform.node.changelog.seq == 2
 
@@ -321,20 +323,20 @@
     assert platform.node.hosts.limits.max_connections == 4
     end = platform.viewer()
     for cell, name in enumerate(names):
-        platform.log.tell(news_of(list_event(2 + cell, host_entry(name, cell=cell))))
+        platform.log.send(event_frame(list_event(2 + cell, host_entry(name, cell=cell))))
     platform.run(0.1)
     for home in range(4):
-        call = platform.ask(end, figures=f"home:{home};copies:1;top:2")
+        call = platform.send_set_up(end, figures=f"home:{home};copies:1;top:2")
         platform.run(0.1)
         assert one_answer(end, call).kind == MessageKind.ANSWER
         end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
         platform.run(0.1)
     assert platform.node.hosts.connections_in_use == 4
     for name in names[:4]:
-        platform.log.tell(news_of(list_event(20 + names.index(name), host_entry(name, "Terminating"))))
+        platform.log.send(event_frame(list_event(20 + names.index(name), host_entry(name, "Terminating"))))
     for cell, name in enumerate(names[4:]):
-        platform.log.tell(news_of(list_event(30 + cell, host_entry(name, cell=cell))))
+        platform.log.send(event_frame(list_event(30 + cell, host_entry(name, cell=cell))))
     platform.run(0.1)
-    call = platform.ask(end, figures="home:0;copies:1;top:2")
+    call = platform.send_set_up(end, figures="home:0;copies:1;top:2")
     platform.run(0.1)
     assert one_answer(end, call).kind == MessageKind.ANSWER and platform.node.hosts.connections_in_use <= 4
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -27,7 +27,7 @@
     """A gateway on a real event loop; the test acts as its host and change log through sockets."""
 
     def __init__(self, sockets=256):
-        self.loop, self.said = SelectorLoop(self.fault), []
+        self.loop, self.log_lines = SelectorLoop(self.record_fault), []
         self.faults = []
         self.host = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.log = socket.create_server(("127.0.0.1", 0))
@@ -42,10 +42,12 @@
             | {"settings": msgspec.Raw(msgspec.json.encode(SETTINGS))},
             Config,
         )
-        self.node = Node(self.loop, self.config, lambda event, **fields: self.said.append((event, fields)))
+        self.node = Node(
+            self.loop, self.config, lambda event, **fields: self.log_lines.append((event, fields))
+        )
         self.readers = {}
 
-    def fault(self, text):
+    def record_fault(self, text):
         self.faults.append(text)
 
     def viewer(self):
@@ -55,16 +57,16 @@
         for _ in range(count):
             self.loop.turn(self.loop.now())
 
-    def until(self, seen):
-        """Run the loop until `seen` returns a true value, and return that."""
+    def run_until(self, condition):
+        """Run the loop until `condition` returns a true value, and return that."""
         late = self.loop.now() + DEADLINE
-        while not (found := seen()):
+        while not (found := condition()):
             assert self.loop.now() < late, "condition not met in time"
             self.loop.turn(self.loop.now() + 5000)
         assert not self.faults
         return found
 
-    def read(self, sock):
+    def receive(self, sock):
         """Return the messages that a socket has received, with None for its end of stream."""
         reader = self.readers.setdefault(sock, MessageReader())
         sock.setblocking(False)
@@ -74,36 +76,36 @@
             return []
         return reader.feed(data) + ([] if data else [None])
 
-    def answers(self, sock, count):
+    def read_messages(self, sock, count):
         """Read until `count` messages have arrived."""
         found = []
-        self.until(lambda: found.extend(self.read(sock)) or len(found) >= count)
+        self.run_until(lambda: found.extend(self.receive(sock)) or len(found) >= count)
         return found
 
-    def accepted(self, listener=None):
+    def accept_connection(self, listener=None):
         """Return the gateway's next connection to the host, or to another listener."""
         listener = listener or self.host
         listener.setblocking(False)
 
-        def come():
+        def try_accept():
             try:
                 return listener.accept()[0]
             except BlockingIOError:
                 return None
 
-        return self.until(come)
+        return self.run_until(try_accept)
 
     def set_up_at_host(self, viewer, call):
         """Send a set-up until the host has received it, and return the host's connection."""
         viewer.sendall(set_up(call, "paid"))
-        line = self.accepted()
-        assert self.answers(line, 1)[0].kind == MessageKind.HEALTH_CHECK
-        line.sendall(messages.encode_health_check_reply(bytes(8), True))
-        assert self.answers(line, 1)[0].kind == MessageKind.SET_UP
-        return line
+        connection = self.accept_connection()
+        assert self.read_messages(connection, 1)[0].kind == MessageKind.HEALTH_CHECK
+        connection.sendall(messages.encode_health_check_reply(bytes(8), True))
+        assert self.read_messages(connection, 1)[0].kind == MessageKind.SET_UP
+        return connection
 
 
-def numbered(number):
+def call_id_of(number):
     return number.to_bytes(8)
 
 
@@ -113,7 +115,7 @@
     bench.turn()
     viewer = bench.viewer()
     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-    calls = [numbered(number) for number in range(1, 301)]
+    calls = [call_id_of(number) for number in range(1, 301)]
     viewer.sendall(b"".join(map(set_up, calls)))
     if gone == "cancelled":
         viewer.sendall(b"".join(encode_release(call, Cause.NORMAL_CLEARING) for call in calls))
@@ -123,11 +125,13 @@
         if gone == "reset":
             viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.close()
-    bench.until(lambda: bench.node.viewers.connections)
+    bench.run_until(lambda: bench.node.viewers.connections)
     if gone == "cancelled":
-        assert all(message.kind == MessageKind.RELEASE_COMPLETE for message in bench.answers(viewer, 300))
+        assert all(
+            message.kind == MessageKind.RELEASE_COMPLETE for message in bench.read_messages(viewer, 300)
+        )
     else:
-        bench.until(lambda: not bench.node.viewers.connections)
+        bench.run_until(lambda: not bench.node.viewers.connections)
     assert bench.node.calls._last_number <= 40
     assert not bench.node.calls.by_id and not bench.node.viewers.bytes_held
 
@@ -137,42 +141,44 @@
     bench.turn()
     flood, other = bench.viewer(), bench.viewer()
     flood.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-    flood.sendall(b"".join(set_up(numbered(number)) for number in range(1, 301)))
-    bench.until(lambda: bench.node.calls._last_number)
-    other.sendall(set_up(numbered(1000)))
-    bench.until(lambda: numbered(1000) in bench.node.calls.by_id)
+    flood.sendall(b"".join(set_up(call_id_of(number)) for number in range(1, 301)))
+    bench.run_until(lambda: bench.node.calls._last_number)
+    other.sendall(set_up(call_id_of(1000)))
+    bench.run_until(lambda: call_id_of(1000) in bench.node.calls.by_id)
     assert bench.node.calls._last_number <= 40
 
 
 def test_an_exception_for_one_set_up_does_not_stop_the_others(monkeypatch):
     bench = Bench()
-    ask, faulty = bench.node.calls.handle_request, [numbered(1)]
+    handle_request, faulty = bench.node.calls.handle_request, [call_id_of(1)]
 
-    def breaks(now, wish, viewer, since):
-        if wish.call_id in faulty:
+    def raise_for_faulty(now, request, viewer, received_at):
+        if request.call_id in faulty:
             raise RuntimeError("for the test")
-        return ask(now, wish, viewer, since)
+        return handle_request(now, request, viewer, received_at)
 
-    monkeypatch.setattr(type(bench.node.calls), "handle_request", lambda self, *args: breaks(*args))
+    monkeypatch.setattr(type(bench.node.calls), "handle_request", lambda self, *args: raise_for_faulty(*args))
     viewer = bench.viewer()
-    viewer.sendall(set_up(numbered(1)) + set_up(numbered(2)))
+    viewer.sendall(set_up(call_id_of(1)) + set_up(call_id_of(2)))
     while len(bench.faults) < 1:
         bench.turn()
     assert "for the test" in bench.faults.pop()
-    bench.until(lambda: numbered(2) in bench.node.calls.by_id)
+    bench.run_until(lambda: call_id_of(2) in bench.node.calls.by_id)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
 def test_a_host_answer_in_the_turn_of_its_viewers_disconnect_leaves_no_session(how):
     bench = Bench()
-    viewer, call = bench.viewer(), numbered(7)
-    line = bench.set_up_at_host(viewer, call)
-    line.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
+    viewer, call = bench.viewer(), call_id_of(7)
+    connection = bench.set_up_at_host(viewer, call)
+    connection.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
     if how == "reset":
         viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     viewer.close()
-    bench.until(lambda: not bench.node.calls.by_id)
-    assert [m.call_id for m in bench.answers(line, 1) if m and m.kind == MessageKind.RELEASE] == [call]
+    bench.run_until(lambda: not bench.node.calls.by_id)
+    assert [m.call_id for m in bench.read_messages(connection, 1) if m and m.kind == MessageKind.RELEASE] == [
+        call
+    ]
     module = bench.node.calls.controller
     assert not module.sessions and not module.seats
     assert all(abs(server.link.charged_kb(bench.loop.now())) < 1e-6 for server in module.servers.values())
@@ -182,11 +188,11 @@
     bench = Bench(sockets=2)  # one connection of viewers
     viewer = bench.viewer()
     viewer.sendall(messages.encode_health_check(bytes(8)))
-    bench.answers(viewer, 1)
+    bench.read_messages(viewer, 1)
     bench.turn(3)
     newcomer = bench.viewer()  # accepted before the set-up is read
-    viewer.sendall(set_up(numbered(7)))
-    found = bench.answers(viewer, 1)
+    viewer.sendall(set_up(call_id_of(7)))
+    found = bench.read_messages(viewer, 1)
     assert found[0] is not None and found[0].kind in (MessageKind.RELEASE, MessageKind.ANSWER)
     newcomer.close()
 
@@ -194,12 +200,12 @@
 def test_a_first_message_that_is_unread_at_its_time_limit_is_processed(monkeypatch):
     bench = Bench()
     viewer = bench.viewer()
-    bench.until(lambda: bench.node.viewers.connections)
-    viewer.sendall(set_up(numbered(7), ms=400))
+    bench.run_until(lambda: bench.node.viewers.connections)
+    viewer.sendall(set_up(call_id_of(7), ms=400))
     monkeypatch.setattr("mintmast.signalling.viewers.MESSAGE_TIMEOUT_US", -1)
     bench.node.viewers._check_connections()
     monkeypatch.undo()
-    bench.until(lambda: numbered(7) in bench.node.calls.by_id)
+    bench.run_until(lambda: call_id_of(7) in bench.node.calls.by_id)
 
 
 # File descriptors
@@ -211,7 +217,7 @@
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     held = []
 
-    def take():
+    def use_up():
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(before[0], 4096), before[1]))
         while True:
             try:
@@ -220,48 +226,48 @@
                 assert error.errno == errno.EMFILE
                 return
 
-    def give():
+    def free():
         while held:
             held.pop().close()
 
-    yield take, give
-    give()
+    yield use_up, free
+    free()
     resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
 
 def test_a_listener_without_descriptors_does_not_spin_and_accepts_later(no_descriptors):
-    take, give = no_descriptors
+    use_up, free = no_descriptors
     bench = Bench()
     bench.turn(3)
     viewer = bench.viewer()
-    take()
+    use_up()
     begin, turns = bench.loop.now(), bench.loop.turns
     bench.loop.run(begin + 300_000)
     assert bench.loop.turns - turns < 100 and not bench.node.viewers.connections
-    give()
+    free()
     viewer.sendall(messages.encode_health_check(bytes(8)))
-    assert bench.answers(viewer, 1)[0].kind == MessageKind.HEALTH_CHECK_REPLY
+    assert bench.read_messages(viewer, 1)[0].kind == MessageKind.HEALTH_CHECK_REPLY
     assert not bench.faults
 
 
 def test_the_change_log_is_followed_once_descriptors_are_free_again(no_descriptors):
-    take, give = no_descriptors
+    use_up, free = no_descriptors
     bench = Bench()
-    take()
+    use_up()
     bench.loop.run(bench.loop.now() + 200_000)
     assert not bench.faults
-    give()
-    assert bench.accepted(bench.log)
+    free()
+    assert bench.accept_connection(bench.log)
 
 
 def test_a_lack_of_descriptors_does_not_mark_a_host_dead(monkeypatch):
     bench = Bench()
-    viewer, call = bench.viewer(), numbered(7)
-    line = bench.set_up_at_host(viewer, call)
-    line.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
-    assert bench.answers(viewer, 1)[0].kind == MessageKind.ANSWER
-    line.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    line.close()
+    viewer, call = bench.viewer(), call_id_of(7)
+    connection = bench.set_up_at_host(viewer, call)
+    connection.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
+    assert bench.read_messages(viewer, 1)[0].kind == MessageKind.ANSWER
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+    connection.close()
     tries = []
 
     def none_left(*_):
@@ -270,9 +276,9 @@
 
     with monkeypatch.context() as patch:
         patch.setattr("mintmast.loop.real.socket.socket", none_left)
-        bench.until(lambda: len(tries) > 5)
+        bench.run_until(lambda: len(tries) > 5)
     assert call in bench.node.calls.by_id
-    assert bench.accepted()
+    assert bench.accept_connection()
 
 
 def test_idle_clients_that_use_all_descriptors_lock_out_neither_viewers_nor_discovery():
@@ -282,16 +288,16 @@
     idle = [bench.viewer() for _ in range(30)]
     for client in idle:
         client.sendall(messages.encode_health_check(bytes(8)))  # a valid message, and nothing after it
-    bench.until(lambda: sum(each.is_verified for each in bench.node.viewers.connections.values()) == 30)
+    bench.run_until(lambda: sum(each.is_verified for each in bench.node.viewers.connections.values()) == 30)
     idle += [bench.viewer() for _ in range(100)]
     bench.turn(20)
     assert len(bench.node.viewers.connections) <= 32
-    viewer, call = bench.viewer(), numbered(7)
-    line = bench.set_up_at_host(viewer, call)
-    line.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
-    assert bench.answers(viewer, 1)[0].kind == MessageKind.ANSWER
+    viewer, call = bench.viewer(), call_id_of(7)
+    connection = bench.set_up_at_host(viewer, call)
+    connection.sendall(encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
+    assert bench.read_messages(viewer, 1)[0].kind == MessageKind.ANSWER
     bench.log = socket.create_server(log)
-    assert bench.accepted(bench.log)
+    assert bench.accept_connection(bench.log)
     for client in idle:
         client.close()
 
@@ -304,11 +310,11 @@
     bench = Bench(sockets=2048)
     viewers = [bench.viewer() for _ in range(150)]
     for number, viewer in enumerate(viewers, 1):
-        viewer.sendall(set_up(numbered(number), ms=400))
+        viewer.sendall(set_up(call_id_of(number), ms=400))
     ended = []
     bench.node.on_stopped = lambda: ended.append(True)
     bench.node.stop()
-    bench.until(lambda: ended)
+    bench.run_until(lambda: ended)
     for viewer in viewers:
         viewer.settimeout(5)
         assert MessageReader().feed(viewer.recv(1 << 16))[0].kind == MessageKind.RELEASE
@@ -321,12 +327,12 @@
     viewer = socket.socket()
     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     viewer.connect(bench.address)
-    bench.until(lambda: bench.node.viewers.connections)
-    line = next(iter(bench.node.viewers.connections.values()))
-    line.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-    line.is_verified = True
-    line.write(b"x" * 100_000)
-    assert line.has_unsent()
+    bench.run_until(lambda: bench.node.viewers.connections)
+    connection = next(iter(bench.node.viewers.connections.values()))
+    connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+    connection.is_verified = True
+    connection.write(b"x" * 100_000)
+    assert connection.has_unsent()
     ended, got = [], []
     bench.node.on_stopped = lambda: ended.append(True)
     bench.node.stop()
@@ -341,7 +347,7 @@
             pass
         return ended
 
-    bench.until(drain)
+    bench.run_until(drain)
     viewer.settimeout(5)
     while got[-1]:
         got.append(len(viewer.recv(1 << 16)))
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -11,18 +11,18 @@
     SECOND,
     SETTINGS,
     Cause,
-    Log,
+    ChangeLogServer,
     MessageKind,
     Param,
     Platform,
-    _Asker,
+    _ChangeLogConnection,
     host_entry,
     list_event,
     set_up,
     silent,
 )
-from test_crossings import news_of
-from test_crossings_sockets import Bench, numbered
+from test_crossings import event_frame
+from test_crossings_sockets import Bench, call_id_of
 from test_node import one_answer
 from test_node_hard import later
 
@@ -37,18 +37,24 @@
 
 def home_of(platform, call):
     """Return the host at which a call was set up."""
-    return next(host for host in platform.hosts.values() if call in host.home)
+    return next(host for host in platform.hosts.values() if call in host.connection_of)
 
 
 # Reload while hosts drain
 
 
-class OtherLog(Log):
+class OtherLog(ChangeLogServer):
     """A change log at the address in the new configuration."""
 
     def __init__(self, platform):
-        self.platform, self.asked, self.streams, self.events, self.quiet = platform, [], [], [], False
-        platform.world.node("log2").listen("log2", 2379, lambda: _Asker(self))
+        self.platform, self.requested_ids, self.streams, self.events, self.is_silent = (
+            platform,
+            [],
+            [],
+            [],
+            False,
+        )
+        platform.world.node("log2").listen("log2", 2379, lambda: _ChangeLogConnection(self))
 
 
 KNOWN = {  # known events of the new configuration, and the sequence number requested from the new log
@@ -70,31 +76,32 @@
     (seq, *results), asked = KNOWN[what]
     platform = Platform("a", "b", "c")
     end, other = platform.viewer(), OtherLog(platform)
-    stood = [platform.ask(end) for _ in range(12)]
+    established = [platform.send_set_up(end) for _ in range(12)]
     platform.run(0.1)
-    assert answered_by(end, stood) == {"a", "b", "c"}
+    assert answered_by(end, established) == {"a", "b", "c"}
     for host in platform.hosts.values():
         host.script = later(0.4)
-    out = [platform.ask(end, "paid") for _ in range(12)]
+    out = [platform.send_set_up(end, "paid") for _ in range(12)]
     platform.run(0.1)
-    platform.log.tell(news_of(list_event(2, host_entry("a", "Terminating"))))
+    platform.log.send(event_frame(list_event(2, host_entry("a", "Terminating"))))
     platform.run(0.05)
     known = _Known(seq, tuple(results))
     platform.node.reload(msgspec.structs.replace(platform.config, changelog="log2:2379", known=known))
     platform.run(0.05)
-    assert other.asked == [asked]
-    other.tell(news_of(list_event(3, host_entry("b", "Terminating"))))
+    assert other.requested_ids == [asked]
+    other.send(event_frame(list_event(3, host_entry("b", "Terminating"))))
     platform.run(0.05)
-    new = [platform.ask(end) for _ in range(12)]
+    new = [platform.send_set_up(end) for _ in range(12)]
     platform.run(0.6)
     assert answered_by(end, new) == {"c"}  # a drains since before the reload, b since after it
     assert answered_by(end, out) == {"a", "b", "c"}  # attempts in progress at the reload are still answered
-    assert len(platform.node.calls.by_id) == 36 and not any(host.cuts for host in platform.hosts.values())
-    for call in stood:
-        home_of(platform, call).end(call)
+    assert len(platform.node.calls.by_id) == 36 and not any(host.releases for host in platform.hosts.values())
+    for call in established:
+        home_of(platform, call).end_session(call)
     platform.run(0.1)
     assert all(
-        [m.cause for m in end.of(call, MessageKind.RELEASE)] == [Cause.NORMAL_CLEARING] for call in stood
+        [m.cause for m in end.messages_for(call, MessageKind.RELEASE)] == [Cause.NORMAL_CLEARING]
+        for call in established
     )
 
 
@@ -106,25 +113,25 @@
     """Fails with a silence timeout of 60 s: the client does not reconnect, and misses the change."""
     platform = Platform("a", "b", "c")
     log, end = platform.log, platform.viewer()
-    call = platform.ask(end, figures="home:0;copies:4;top:0")
+    call = platform.send_set_up(end, figures="home:0;copies:4;top:0")
     platform.run(0.1)
-    whole = news_of(list_event(2, host_entry("a"), host_entry("b"), full=True))
-    log.tell(whole)
-    log.quiet, begin = True, platform.now()
+    full_list = event_frame(list_event(2, host_entry("a"), host_entry("b"), full=True))
+    log.send(full_list)
+    log.is_silent, begin = True, platform.now()
     for number in range(silences):
         platform.run(1)
-        during = [platform.ask(end) for _ in range(8)]
+        during = [platform.send_set_up(end) for _ in range(8)]
         platform.run(1.5)
         assert answered_by(end, during) == {"a", "b"}
-        assert log.asked == ["1"] + ["2"] * (number + 1)  # one reconnection for each silence
+        assert log.requested_ids == ["1"] + ["2"] * (number + 1)  # one reconnection for each silence
         assert len(log.streams) == 1
-    log.tell(whole)  # a duplicate, as a new connection may bring it
-    log.tell(news_of(list_event(3, host_entry("a", "Terminating"))))
+    log.send(full_list)  # a duplicate, as a new connection may bring it
+    log.send(event_frame(list_event(3, host_entry("a", "Terminating"))))
     platform.run(0.05)
     assert silences > 1 or platform.now() - begin < 4 * SECOND  # the platform allows a change 4 s
-    after = [platform.ask(end) for _ in range(8)]
+    after = [platform.send_set_up(end) for _ in range(8)]
     platform.run(0.1)
-    assert answered_by(end, after) == {"b"} and not end.of(call, MessageKind.RELEASE)
+    assert answered_by(end, after) == {"b"} and not end.messages_for(call, MessageKind.RELEASE)
 
 
 @pytest.mark.parametrize("successor", [False, True])
@@ -133,35 +140,35 @@
     is treated as restarted."""
     platform = Platform("a", "b", "d")
     log, end, hosts = platform.log, platform.viewer(), platform.hosts
-    calls = [platform.ask(end) for _ in range(15)]
+    calls = [platform.send_set_up(end) for _ in range(15)]
     platform.run(0.1)
     assert answered_by(end, calls) == {"a", "b", "d"}
-    log.tell(news_of(list_event(2, host_entry("a"), host_entry("b"))))
+    log.send(event_frame(list_event(2, host_entry("a"), host_entry("b"))))
     listed = [host_entry("a"), host_entry("d", "Terminating")]
     if successor:
         listed.insert(0, host_entry("n", addr="b:5060"))  # at the address of b, which is no longer listed
-    log.tell(news_of(list_event(3, *listed, full=True)))
+    log.send(event_frame(list_event(3, *listed, full=True)))
     platform.run(0.3)
     node, ids = platform.node, {each["id"].encode() for each in listed}
-    assert set(node._listed_hosts) == ids and node.changelog.seq == 3 and log.asked == ["1"]
+    assert set(node._listed_hosts) == ids and node.changelog.seq == 3 and log.requested_ids == ["1"]
     kept = [call for call in calls if home_of(platform, call).name != "b"]
     gone = [call for call in calls if call not in kept]
     # a host that left the list keeps its sessions while it is reachable at its address
-    assert all(bool(end.of(call, MessageKind.RELEASE)) == successor for call in gone)
-    assert not any(end.of(call, MessageKind.RELEASE) for call in kept) and not (
-        hosts["a"].cuts or hosts["d"].cuts
+    assert all(bool(end.messages_for(call, MessageKind.RELEASE)) == successor for call in gone)
+    assert not any(end.messages_for(call, MessageKind.RELEASE) for call in kept) and not (
+        hosts["a"].releases or hosts["d"].releases
     )
     before = {name: len(host.set_ups) for name, host in hosts.items()}
-    new = [platform.ask(end) for _ in range(15)]
+    new = [platform.send_set_up(end) for _ in range(15)]
     platform.run(0.1)
     assert all(one_answer(end, call).kind == MessageKind.ANSWER for call in new)
     assert len(hosts["d"].set_ups) == before["d"] and len(hosts["a"].set_ups) > before["a"]
     assert (len(hosts["b"].set_ups) > before["b"]) == successor
     for call in kept if successor else calls:
-        home_of(platform, call).end(call)
+        home_of(platform, call).end_session(call)
     platform.run(0.5)
-    assert all(len(end.of(call, MessageKind.RELEASE)) == 1 for call in calls)
-    log.tell(news_of(list_event(4, host_entry("d"))))  # a delta again
+    assert all(len(end.messages_for(call, MessageKind.RELEASE)) == 1 for call in calls)
+    log.send(event_frame(list_event(4, host_entry("d"))))  # a delta again
     platform.run(6)  # spare connections are closed after 4 s
     assert set(node._listed_hosts) == ids and set(node.hosts.pools) == ids
 
@@ -169,7 +176,7 @@
 # Fragmented messages
 
 
-class InPieces:
+class SlowStream:
     """A stream that sends one byte every `step` µs."""
 
     def __init__(self, world, stream, step):
@@ -184,18 +191,18 @@
 def test_set_ups_and_host_messages_may_arrive_byte_by_byte():
     """Fails if the decoder keeps no incomplete message, and if a set-up's timeout counts from its connect."""
     platform = Platform("a", settings=SETTINGS | {"caps": SETTINGS["caps"] | {"connectTimeout": SECOND}})
-    host, take = platform.hosts["a"], platform.hosts["a"].take
+    host, handle_message = platform.hosts["a"], platform.hosts["a"].handle_message
 
-    def slowly(end, message):
-        if not isinstance(end.stream, InPieces):
-            end.stream = InPieces(platform.world, end.stream, 4 * MS)
-        take(end, message)
+    def answer_slowly(end, message):
+        if not isinstance(end.stream, SlowStream):
+            end.stream = SlowStream(platform.world, end.stream, 4 * MS)
+        handle_message(end, message)
 
-    host.take = slowly
+    host.handle_message = answer_slowly
     ends = [platform.viewer() for _ in range(4)]
     for end in ends:
-        end.stream = InPieces(platform.world, end.stream, 18 * MS)
-    calls = [platform.ask(end, "paid", ms=2000) for end in ends]
+        end.stream = SlowStream(platform.world, end.stream, 18 * MS)
+    calls = [platform.send_set_up(end, "paid", ms=2000) for end in ends]
     last = ends[0].stream.next
     assert last - platform.now() > 1500 * MS  # and below the time limit for one message
     platform.world.run(last - MS)
@@ -206,71 +213,88 @@
     assert all(1900 < int(sent.params[Param.TIMEOUT]) <= 2000 for _, sent in host.set_ups)
     assert sorted(sent.call_id for _, sent in host.set_ups) == calls
     for call in calls:
-        host.end(call)
+        host.end_session(call)
     platform.run(0.5)
-    assert all(len(end.of(call, MessageKind.RELEASE)) == 1 for end, call in zip(ends, calls, strict=True))
+    assert all(
+        len(end.messages_for(call, MessageKind.RELEASE)) == 1 for end, call in zip(ends, calls, strict=True)
+    )
     assert not platform.node.calls.by_id and not any(end.closed_by for end in ends)
 
 
 def test_a_set_up_and_its_answer_may_arrive_byte_by_byte_on_a_real_loop():
     """Fails if the decoder keeps no incomplete message."""
-    bench, call = Bench(), numbered(7)
+    bench, call = Bench(), call_id_of(7)
     viewer = bench.viewer()
 
-    def dribble(sock, data):
+    def send_byte_by_byte(sock, data):
         for at in range(len(data)):
             sock.sendall(data[at : at + 1])
             bench.turn()
 
-    bench.until(lambda: bench.node.viewers.connections)
-    dribble(viewer, set_up(call, "paid"))
-    line = bench.accepted()
-    assert bench.answers(line, 1)[0].kind == MessageKind.HEALTH_CHECK
-    dribble(line, messages.encode_health_check_reply(bytes(8), True))
-    assert [m.call_id for m in bench.answers(line, 1)] == [call]
-    dribble(line, encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
-    assert [m.kind for m in bench.answers(viewer, 1)] == [MessageKind.ANSWER]
+    bench.run_until(lambda: bench.node.viewers.connections)
+    send_byte_by_byte(viewer, set_up(call, "paid"))
+    connection = bench.accept_connection()
+    assert bench.read_messages(connection, 1)[0].kind == MessageKind.HEALTH_CHECK
+    send_byte_by_byte(connection, messages.encode_health_check_reply(bytes(8), True))
+    assert [m.call_id for m in bench.read_messages(connection, 1)] == [call]
+    send_byte_by_byte(connection, encode(MessageKind.ANSWER, call, [(Param.DESCRIPTION, b"here")]))
+    assert [m.kind for m in bench.read_messages(viewer, 1)] == [MessageKind.ANSWER]
 
 
 # Unanswered set-ups
 
 
-class Count:
+class AnswerCounter:
     """Counts set-ups and their answers as the platform does."""
 
     def __init__(self, platform):
-        self.platform, self.asked, self.due, self.came, self.stands = platform, {}, {}, {}, set()
+        self.platform, self.sent_at, self.deadlines, self.answer_times, self.answered = (
+            platform,
+            {},
+            {},
+            {},
+            set(),
+        )
 
     def viewer(self):
         end = self.platform.viewer()
-        end.on = self.hear
+        end.on_message = self.record
         return end
 
-    def ask(self, end, service, ms):
-        call = self.platform.ask(end, service, ms)
-        self.asked[call] = self.platform.now()
-        self.due[call] = self.asked[call] + (ms + 50) * MS  # the platform's tolerance is 50 ms
-        self.came[call] = []
+    def send_set_up(self, end, service, ms):
+        call = self.platform.send_set_up(end, service, ms)
+        self.sent_at[call] = self.platform.now()
+        self.deadlines[call] = self.sent_at[call] + (ms + 50) * MS  # the platform's tolerance is 50 ms
+        self.answer_times[call] = []
         return call
 
-    def hear(self, end, message):
+    def record(self, end, message):
         if message.kind == MessageKind.ANSWER:
-            self.stands.add(message.call_id)
-        elif message.kind != MessageKind.RELEASE or message.call_id in self.stands:
+            self.answered.add(message.call_id)
+        elif message.kind != MessageKind.RELEASE or message.call_id in self.answered:
             return  # the end of a session is no answer
-        self.came[message.call_id].append(self.platform.now())
+        self.answer_times[message.call_id].append(self.platform.now())
 
     def unanswered(self):
-        return [call for call, due in self.due.items() if not any(at <= due for at in self.came[call])]
+        return [
+            call
+            for call, deadline in self.deadlines.items()
+            if not any(at <= deadline for at in self.answer_times[call])
+        ]
 
     def longest(self):
-        return max(came[0] - self.asked[call] for call, came in self.came.items()) // MS
+        return max(times[0] - self.sent_at[call] for call, times in self.answer_times.items()) // MS
 
-    def doubled(self):
-        return [call for call, came in self.came.items() if len(came) > 1]
+    def duplicates(self):
+        return [call for call, times in self.answer_times.items() if len(times) > 1]
 
 
-SOON = {"resets": 300, "closes": 300, "closes within its answer": 300, "accepts and says nothing": 1000}  # ms
+MAX_ANSWER_MS = {
+    "resets": 300,
+    "closes": 300,
+    "closes within its answer": 300,
+    "accepts and says nothing": 1000,
+}  # ms
 
 
 def at_deadline(ms):
@@ -305,37 +329,37 @@
     platform = Platform("a", "b", script=HOSTS[what])
     if HOSTS[what] is None:
         for host in platform.hosts.values():
-            host.take = lambda end, message: None
-    count = Count(platform)
+            host.handle_message = lambda end, message: None
+    count = AnswerCounter(platform)
     ends, left = [count.viewer() for _ in range(3)], platform.viewer()
     for _ in range(4):
         for end in ends:
             for ms in (150, 400, 1200, 2500):
-                count.ask(end, service, ms)
-        platform.ask(left, service)  # needs no answer once its connection is closed
+                count.send_set_up(end, service, ms)
+        platform.send_set_up(left, service)  # needs no answer once its connection is closed
         platform.run(0.08)
     left.stream.close()
     platform.run(4)
-    assert len(count.due) == 48 and count.unanswered() == count.doubled() == []
-    assert set(platform.node.calls.by_id) == count.stands and not platform.node.viewers.bytes_held
-    assert not count.stands or what == "answers about the deadline"
-    assert count.longest() < SOON.get(what, 2550)
+    assert len(count.deadlines) == 48 and count.unanswered() == count.duplicates() == []
+    assert set(platform.node.calls.by_id) == count.answered and not platform.node.viewers.bytes_held
+    assert not count.answered or what == "answers about the deadline"
+    assert count.longest() < MAX_ANSWER_MS.get(what, 2550)
     if what == "answers after the deadline":
-        assert all(call in host.cuts for host in platform.hosts.values() for call in host.home)
+        assert all(call in host.releases for host in platform.hosts.values() for call in host.connection_of)
 
 
 def test_the_answer_counter_detects_missing_and_duplicate_answers():
     """The counter above detects missing answers of a dead gateway, late answers and duplicates."""
     platform = Platform("a", script=later(0.2))
-    count = Count(platform)
+    count = AnswerCounter(platform)
     end = count.viewer()
-    good = count.ask(end, "free", 2000)
+    good = count.send_set_up(end, "free", 2000)
     platform.run(0.3)
-    lost = [count.ask(end, "paid", 500) for _ in range(3)]
+    lost = [count.send_set_up(end, "paid", 500) for _ in range(3)]
     platform.run(0.1)
     platform.gateway.kill()
     platform.run(1)
-    assert count.unanswered() == lost and count.came[good]
-    count.hear(end, messages.Message(MessageKind.RELEASE, lost[0], {}))  # after its deadline
-    count.hear(end, messages.Message(MessageKind.ANSWER, good, {}))
-    assert count.unanswered() == lost and count.doubled() == [good]
+    assert count.unanswered() == lost and count.answer_times[good]
+    count.record(end, messages.Message(MessageKind.RELEASE, lost[0], {}))  # after its deadline
+    count.record(end, messages.Message(MessageKind.ANSWER, good, {}))
+    assert count.unanswered() == lost and count.duplicates() == [good]
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -24,8 +24,8 @@
     play,
     set_up,
 )
-from test_crossings import news_of
-from test_crossings_sockets import Bench, numbered
+from test_crossings import event_frame
+from test_crossings_sockets import Bench, call_id_of
 from test_node import one_answer
 from test_node_process import free_port, start_process, wait_for_event, write_config
 
@@ -36,7 +36,7 @@
 from mintmast.signalling.messages import MessageKind, MessageReader, encode_release
 from mintmast.signalling.node import Config, Node
 
-SOON = 20_000_000  # µs until an awaited condition fails the test
+TIMEOUT_US = 20_000_000  # µs until an awaited condition fails the test
 
 
 class Host(Handler):
@@ -67,7 +67,7 @@
     """A viewer's connection that sends `data` and records the messages it receives."""
 
     def __init__(self, loop, port, data):
-        self.data, self.read, self.reader = data, [], MessageReader()
+        self.data, self.messages, self.reader = data, [], MessageReader()
         self.is_open, self.closed_by = False, None
         loop.connect("127.0.0.1", port, self)
 
@@ -76,7 +76,7 @@
         stream.write(self.data)
 
     def received(self, data):
-        self.read += self.reader.feed(data)
+        self.messages += self.reader.feed(data)
 
     def closed(self, reason):
         self.closed_by = reason
@@ -94,9 +94,9 @@
         hosts.append(Host(set_ups))
         return hosts[-1]
 
-    def until_seen(seen):
-        late = loop.now() + SOON
-        while not seen():
+    def run_until(condition):
+        late = loop.now() + TIMEOUT_US
+        while not condition():
             assert loop.now() < late, "condition not met in time"
             loop.turn(loop.now() + 5000)
 
@@ -113,37 +113,37 @@
     try:
         wait_for_event(process, "serving")
         asked = viewers(1)
-        halves = [Viewer(loop, port, set_up(b"half5678", "paid")[:40]), Viewer(loop, port, b"")]
+        incomplete = [Viewer(loop, port, set_up(b"half5678", "paid")[:40]), Viewer(loop, port, b"")]
         if kill == "in the backlog":
-            until_seen(lambda: len(set_ups) == 6)
+            run_until(lambda: len(set_ups) == 6)
             os.kill(process.pid, signal.SIGSTOP)  # the kernel still completes connections in the backlog
             asked += viewers(7)
-        until_seen(lambda: all(each.is_open for each in asked + halves))
+        run_until(lambda: all(each.is_open for each in asked + incomplete))
         if kill == "unanswered":
-            until_seen(lambda: len(set_ups) == 6)
+            run_until(lambda: len(set_ups) == 6)
         elif kill == "with sessions playing":
-            until_seen(lambda: all(each.read for each in asked))
+            run_until(lambda: all(each.messages for each in asked))
         process.kill()
         process.wait()
         process = start_process(path)
-        until_seen(lambda: all(each.closed_by for each in asked + halves + hosts))
-        heard = [message.kind for each in asked + halves for message in each.read]
+        run_until(lambda: all(each.closed_by for each in asked + incomplete + hosts))
+        heard = [message.kind for each in asked + incomplete for message in each.messages]
         assert heard == ([MessageKind.ANSWER] * 6 if kill == "with sessions playing" else [])
         wait_for_event(process, "serving")
         monkeypatch.setattr(Host, "plays", True)
         new = [Viewer(loop, port, messages.encode_health_check(bytes(8))), *viewers(101)]
-        until_seen(lambda: all(each.read for each in new))
-        assert new[0].read[0].kind == MessageKind.HEALTH_CHECK_REPLY and new[0].read[0].cause == 1
-        assert {each.read[0].kind for each in new[1:]} == {MessageKind.ANSWER}
+        run_until(lambda: all(each.messages for each in new))
+        assert new[0].messages[0].kind == MessageKind.HEALTH_CHECK_REPLY and new[0].messages[0].cause == 1
+        assert {each.messages[0].kind for each in new[1:]} == {MessageKind.ANSWER}
         if kill == "with sessions playing":  # the viewers hand over the playing sessions; the host ends them
             told = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
-            until_seen(lambda: all(each.is_open for each in told))
+            run_until(lambda: all(each.is_open for each in told))
             loop.run(loop.now() + 200_000)
-            line = next(each for each in hosts if not each.closed_by)
+            connection = next(each for each in hosts if not each.closed_by)
             for number in range(1, 7):
-                line.stream.write(encode_release(number.to_bytes(8), Cause.NORMAL_CLEARING))
-            until_seen(lambda: all(each.read for each in told))
-            assert all(each.read[0].cause == Cause.NORMAL_CLEARING for each in told)
+                connection.stream.write(encode_release(number.to_bytes(8), Cause.NORMAL_CLEARING))
+            run_until(lambda: all(each.messages for each in told))
+            assert all(each.messages[0].cause == Cause.NORMAL_CLEARING for each in told)
         loop.run(loop.now() + 200_000)  # set-ups of the killed process must not arrive again
         counts = Counter(int.from_bytes(call) for call in set_ups)
         assert max(counts.values()) == 1 and set(range(101, 107)) <= counts.keys()
@@ -159,7 +159,7 @@
 COLD, FALL, STREAMS, MULTIPLE, FROM = 8 * SECOND, 1_500_000, 90, 2.5, 0.5
 
 
-class Thirty:
+class GatewayFleet:
     """Thirty gateways of one fleet with three hosts, all in their slow start."""
 
     def __init__(self):
@@ -168,19 +168,19 @@
         self.settings = SETTINGS | {"nInstances": COUNT, "invariants": pace, "familyInfo": family}
         self.platform = Platform("a", "b", "c")
         now = self.platform.now()
-        self.born = {"a": now - 800 * MS, "b": now, "c": now + 900 * MS}
+        self.started_at = {"a": now - 800 * MS, "b": now, "c": now + 900 * MS}
         self.start()
         self.platform.world.at(
-            self.born["c"], self.platform.log.tell, news_of(list_event(2, self.entry("c")))
+            self.started_at["c"], self.platform.log.send, event_frame(list_event(2, self.entry("c")))
         )
 
     def entry(self, name):
-        return host_entry(name, started=EPOCH_S * 1000 + self.born[name] // MS)
+        return host_entry(name, started=EPOCH_S * 1000 + self.started_at[name] // MS)
 
     def start(self):
         """Start all gateways at once, with the hosts known that have started by now."""
         platform = self.platform
-        names = [name for name in self.born if self.born[name] <= platform.now()]
+        names = [name for name in self.started_at if self.started_at[name] <= platform.now()]
         seq = len(names) - 1
         known = {"seq": seq, "results": [list_event(seq, *map(self.entry, names), full=True)]}
         self.machines = []
@@ -191,7 +191,7 @@
             self.machines.append(platform.world.node(f"g{me}"))
             Node(self.machines[-1], msgspec.convert(told, Config), lambda event, **fields: None)
 
-    def play(self, seconds):
+    def send_load(self, seconds):
         """Send each gateway twelve set-ups a second."""
         ends = []
         for me in range(COUNT):
@@ -200,10 +200,10 @@
         self.platform.run(0.005)
         for _ in range(int(seconds * 12)):
             for end in ends:
-                self.platform.ask(end, ms=500)
+                self.platform.send_set_up(end, ms=500)
             self.platform.run(1 / 12)
 
-    def over(self, name):
+    def budget_excess(self, name):
         """Return by how much a host's fullest window exceeds N + 2 * sqrt(N) + 2; 0 or less is within bounds.
 
         N is the slow start's budget of set-ups for the window.
@@ -211,7 +211,7 @@
         times = sorted(at for at, _ in self.platform.hosts[name].set_ups)
         worst = []
         for place, begin in enumerate(times):
-            warmth = FROM + (1 - FROM) * min(1.0, (begin - self.born[name]) / COLD)
+            warmth = FROM + (1 - FROM) * min(1.0, (begin - self.started_at[name]) / COLD)
             budget = MULTIPLE * STREAMS / COLD * warmth * FALL
             worst.append(bisect_left(times, begin + FALL) - place - (budget + 2 * budget**0.5 + 2))
         return max(worst)
@@ -220,15 +220,15 @@
 @pytest.mark.parametrize("again", [False, True])
 def test_thirty_gateways_that_start_at_once_stay_within_the_slow_start_budget(again):
     """Fails if each gateway uses the whole slow-start budget; with `again` if a restart sends at once."""
-    thirty = Thirty()
-    thirty.play(2.4 if again else 3.6)
+    fleet = GatewayFleet()
+    fleet.send_load(2.4 if again else 3.6)
     if again:
-        for machine in thirty.machines:
+        for machine in fleet.machines:
             machine.kill()
-        thirty.start()
-        thirty.play(2.4)
-    assert all(len(host.set_ups) > 15 for host in thirty.platform.hosts.values())
-    assert {name: over for name in thirty.born if (over := thirty.over(name)) > 0} == {}
+        fleet.start()
+        fleet.send_load(2.4)
+    assert all(len(host.set_ups) > 15 for host in fleet.platform.hosts.values())
+    assert {name: excess for name in fleet.started_at if (excess := fleet.budget_excess(name)) > 0} == {}
 
 
 # Idle gateway
@@ -239,7 +239,7 @@
     platform = Platform("a", "b")
     end, node = platform.viewer(), platform.node
     end.stream.write(messages.encode_health_check(bytes(8)))
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
     end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(300)
@@ -263,12 +263,12 @@
     assert fired <= 900 * 12  # two periodic checks four times a second each, and the log's comments
     waiting = [timer for _, _, timer in platform.world._timers._heap if timer.callback is not None]
     assert len(waiting) < 12
-    assert platform.log.asked == ["1"] and len(platform.log.streams) == 1
+    assert platform.log.requested_ids == ["1"] and len(platform.log.streams) == 1
     assert len(node.viewers.connections) == 1 and not node.hosts.connections_in_use and not node.calls.by_id
-    platform.log.tell(news_of(list_event(2, host_entry("a", "Terminating"))))
+    platform.log.send(event_frame(list_event(2, host_entry("a", "Terminating"))))
     platform.run(0.01)
     begin = platform.now()
-    call = platform.ask(end, "paid")
+    call = platform.send_set_up(end, "paid")
     platform.run(0.02)
     assert one_answer(end, call).params[Param.DESCRIPTION] == b"from b"
     assert platform.hosts["b"].set_ups[-1][0] - begin < 10 * MS
@@ -277,8 +277,8 @@
 def test_an_idle_real_loop_turns_a_few_times_a_second():
     """Fails if either periodic check of connections runs every 10 ms."""
     bench = Bench()
-    bench.accepted(bench.log)
+    bench.accept_connection(bench.log)
     before = bench.loop.turns
     bench.loop.run(bench.loop.now() + 1_500_000)
     assert bench.loop.turns - before <= 1.5 * 10
-    assert bench.set_up_at_host(bench.viewer(), numbered(7))
+    assert bench.set_up_at_host(bench.viewer(), call_id_of(7))
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -74,28 +74,28 @@
 @given(st.binary(max_size=300))
 def test_garbage_on_the_change_log_leaves_the_list_unchanged(noise):
     platform = Platform("a")
-    platform.log.tell(b"data: " + noise + b"\n\n")
+    platform.log.send(b"data: " + noise + b"\n\n")
     platform.run(0.5)
     assert set(platform.node._listed_hosts) == {b"id-a"}
-    platform.log.tell(b"\n\nid: 2\ndata: " + _json(list_event(2, host_entry("b"))) + b"\n\n")
+    platform.log.send(b"\n\nid: 2\ndata: " + _json(list_event(2, host_entry("b"))) + b"\n\n")
     platform.run(0.5)
     assert set(platform.node._listed_hosts) == {b"id-a", b"id-b"}
 
 
 def test_a_gap_in_sequence_numbers_is_accepted_only_after_one_new_request():
     platform = Platform("a")
-    platform.log.tell(b"data: " + _json(list_event(3, host_entry("c"))) + b"\n\n")
+    platform.log.send(b"data: " + _json(list_event(3, host_entry("c"))) + b"\n\n")
     platform.run(0.2)
-    assert platform.log.asked == ["1", "1"] and len(platform.node._listed_hosts) == 1
+    assert platform.log.requested_ids == ["1", "1"] and len(platform.node._listed_hosts) == 1
     both = [
         b"data: " + _json(list_event(seq, host_entry(name))) + b"\n\n" for seq, name in ((2, "b"), (3, "c"))
     ]
-    platform.log.tell(b"".join(both))
+    platform.log.send(b"".join(both))
     platform.run(0.2)
     assert set(platform.node._listed_hosts) == {b"id-a", b"id-b", b"id-c"}
-    platform.log.tell(b"data: " + _json(list_event(9, host_entry("d"))) + b"\n\n")
+    platform.log.send(b"data: " + _json(list_event(9, host_entry("d"))) + b"\n\n")
     platform.run(0.2)
-    platform.log.tell(b"data: " + _json(list_event(9, host_entry("d"))) + b"\n\n")
+    platform.log.send(b"data: " + _json(list_event(9, host_entry("d"))) + b"\n\n")
     platform.run(0.2)
     assert b"id-d" in platform.node._listed_hosts
 
@@ -103,7 +103,7 @@
 def test_a_new_log_address_in_the_middle_of_an_event_resumes_after_the_last_event():
     platform = Platform("a")
     whole = b"data: " + _json(list_event(2, host_entry("b"))) + b"\n\n"
-    platform.log.tell(whole[:40])
+    platform.log.send(whole[:40])
     platform.run(0.01)
     platform.config.changelog = "log:2380"
     asked = []
--- a/tests/test_node_hard.py
+++ b/tests/test_node_hard.py
@@ -32,43 +32,45 @@
 def test_a_cancellation_that_crosses_the_answer_leaves_no_session(after_ms):
     platform = Platform("a", script=later(0.004))
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end, "paid")
+    call = platform.send_set_up(end, "paid")
     platform.run(after_ms / 1000)
     end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(1)
     assert not platform.node.calls.by_id and not platform.node.calls.controller.sessions
-    assert call in host.cuts or not host.set_ups
-    assert len([m for m in end.of(call) if m.kind in (MessageKind.ANSWER, MessageKind.RELEASE)]) <= 1
+    assert call in host.releases or not host.set_ups
+    assert (
+        len([m for m in end.messages_for(call) if m.kind in (MessageKind.ANSWER, MessageKind.RELEASE)]) <= 1
+    )
 
 
 @pytest.mark.parametrize("late_ms", range(-3, 4))
 def test_an_answer_near_the_deadline_is_either_in_time_or_late(late_ms):
     platform = Platform("a", script=later(0.4 + late_ms / 1000))
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end, "paid", ms=400)
+    call = platform.send_set_up(end, "paid", ms=400)
     platform.run(2)
     answer = one_answer(end, call)
     stands = bool(platform.node.calls.by_id)
     assert (answer.kind == MessageKind.ANSWER) == stands
-    assert stands or call in host.cuts
+    assert stands or call in host.releases
 
 
 def test_crossing_releases_of_host_and_viewer_end_the_session_once():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
-    host.live()[-1].stream.write(encode_release(call, Cause.NORMAL_CLEARING))
+    host.open_connections()[-1].stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(0.1)
     assert not platform.node.calls.by_id and not platform.node.calls.controller.sessions
-    assert len(end.of(call, MessageKind.RELEASE)) <= 1 and end.closed_by is None
+    assert len(end.messages_for(call, MessageKind.RELEASE)) <= 1 and end.closed_by is None
 
 
 def test_a_move_releases_the_session_at_its_host_and_tells_the_viewer_to_move():
     platform = Platform("a")
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
     calls = platform.node.calls
     handle = calls.controller.handle
@@ -77,17 +79,17 @@
     )
     platform.node._execute(calls.handle_note(platform.now(), call, b"id-a", 1, 0.5))
     calls.controller.handle = handle
-    host.live()[-1].stream.write(encode_release(call, Cause.NORMAL_UNSPECIFIED))
+    host.open_connections()[-1].stream.write(encode_release(call, Cause.NORMAL_UNSPECIFIED))
     platform.run(0.1)
-    assert [m.kind for m in end.of(call)] == [MessageKind.ANSWER, MessageKind.MOVE]
-    assert call in host.cuts and not calls.by_id
+    assert [m.kind for m in end.messages_for(call)] == [MessageKind.ANSWER, MessageKind.MOVE]
+    assert call in host.releases and not calls.by_id
 
 
 @pytest.mark.parametrize("service", ["paid", "free"])
 def test_a_set_up_on_a_connection_that_breaks_later_may_have_run(service):
     platform = Platform("a", "b", script=lambda host, end, message: end.stream.abort())
     end = platform.viewer()
-    call = platform.ask(end, service)
+    call = platform.send_set_up(end, service)
     platform.run(1)
     sent = sum(len(host.set_ups) for host in platform.hosts.values())
     assert one_answer(end, call).kind == MessageKind.RELEASE
@@ -97,7 +99,7 @@
 def test_a_paid_set_up_that_was_only_partly_sent_is_retried_on_another_host():
     platform = Platform("a", "b", script=silent)
     end = platform.viewer()
-    call = platform.ask(end, "paid")
+    call = platform.send_set_up(end, "paid")
     platform.run(0.05)
     (first,) = [name for name, host in platform.hosts.items() if host.set_ups]
     (line,) = [e for e in platform.node.hosts.pools[f"id-{first}".encode()].connections if e.attempt]
@@ -112,17 +114,17 @@
 def test_a_reset_before_the_health_check_passes_does_not_fail_a_paid_set_up():
     platform = Platform("a")
     host, end = platform.hosts["a"], platform.viewer()
-    take, resets = host.take, []
+    handle_message, resets = host.handle_message, []
 
     def reset_first(peer, message):
         if len(resets) < 2:
             resets.append(peer)
             peer.stream.abort()
         else:
-            take(peer, message)
+            handle_message(peer, message)
 
-    host.take = reset_first
-    call = platform.ask(end, "paid")
+    host.handle_message = reset_first
+    call = platform.send_set_up(end, "paid")
     platform.run(0.2)
     assert len(resets) == 2 and one_answer(end, call).kind == MessageKind.ANSWER
 
@@ -135,10 +137,10 @@
 
     platform = Platform("a", script=generous)
     end = platform.viewer()
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
     assert one_answer(end, call).params[Param.DESCRIPTION] == b"from a"
-    assert platform.hosts["a"].live() and not end.of(b"unknown!")
+    assert platform.hosts["a"].open_connections() and not end.messages_for(b"unknown!")
 
 
 def test_a_session_handed_over_twice_and_released_twice_ends_once():
@@ -147,10 +149,10 @@
     found = set_up(call, figures="home:0;copies:4;top:2;at:id-a", timeout=None, description=None)
     end.stream.write(found + found)
     platform.run(0.3)
-    assert len(platform.node.calls.by_id) == 1 and platform.hosts["a"].live()
-    platform.hosts["a"].live()[0].stream.write(encode_release(call, Cause.TEMPORARY_FAILURE) * 2)
+    assert len(platform.node.calls.by_id) == 1 and platform.hosts["a"].open_connections()
+    platform.hosts["a"].open_connections()[0].stream.write(encode_release(call, Cause.TEMPORARY_FAILURE) * 2)
     platform.run(0.1)
-    assert len(end.of(call, MessageKind.RELEASE)) == 1 and not platform.node.calls.by_id
+    assert len(end.messages_for(call, MessageKind.RELEASE)) == 1 and not platform.node.calls.by_id
 
 
 def test_60_mb_of_garbage_close_the_connection_early_and_free_everything():
@@ -172,11 +174,11 @@
     for call in ids:
         bad.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(0.01)
-    mine = platform.ask(good, figures="home:0;copies:4;top:0")
+    mine = platform.send_set_up(good, figures="home:0;copies:4;top:0")
     platform.run(1)
     assert one_answer(good, mine).kind == MessageKind.ANSWER
     assert len(platform.node.calls.by_id) == 1 and not platform.node.viewers.bytes_held
-    assert not any(m.kind == MessageKind.ANSWER for m in bad.read)
+    assert not any(m.kind == MessageKind.ANSWER for m in bad.messages)
 
 
 def test_hundreds_of_silent_viewer_connections_leave_descriptors_for_hosts():
@@ -184,7 +186,7 @@
     silent_ones = [platform.viewer() for _ in range(200)]
     assert len([each for each in silent_ones if each.closed_by is None]) <= 32
     end = platform.viewer()
-    call = platform.ask(end)
+    call = platform.send_set_up(end)
     platform.run(0.1)
     assert one_answer(end, call).kind == MessageKind.ANSWER
 
@@ -193,7 +195,7 @@
     platform = Platform("a", "b")
     platform.node.changelog.handle_event(list_event(2, host_entry("a", "Terminating")))
     end = platform.viewer()
-    calls = [platform.ask(end) for _ in range(10)]
+    calls = [platform.send_set_up(end) for _ in range(10)]
     platform.run(0.2)
     assert not platform.hosts["a"].set_ups
     assert all(one_answer(end, call).params[Param.DESCRIPTION] == b"from b" for call in calls)
@@ -203,7 +205,7 @@
     platform = Platform("a", script=refuse(Cause.NO_CIRCUIT_AVAILABLE))
     end = platform.viewer()
     began = platform.now()
-    call = platform.ask(end, "paid")
+    call = platform.send_set_up(end, "paid")
     platform.run(0.02)
     answer = one_answer(end, call)
     assert answer.cause == Cause.SWITCHING_EQUIPMENT_CONGESTION and platform.now() - began < 50_000
@@ -226,7 +228,7 @@
         node.changelog.handle_event(told)
         end = platform.viewer()
         for _ in range(3):
-            call = platform.ask(end, figures="home:0;copies:4;top:0")
+            call = platform.send_set_up(end, figures="home:0;copies:4;top:0")
         platform.run(0.5)
         end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
         platform.run(0.5)
@@ -252,34 +254,34 @@
     # the periodic check that closes the connections that are used now
     back = platform.now() // CHECK_PERIOD_US * CHECK_PERIOD_US + CHECK_PERIOD_US + SPARE_IDLE_US
     host, end = platform.hosts["a"], platform.viewer()
-    calls = [platform.ask(end, figures="home:0;copies:4;top:0") for _ in range(3)]
+    calls = [platform.send_set_up(end, figures="home:0;copies:4;top:0") for _ in range(3)]
     platform.world.run(back - before_us)
     for call in calls:
-        host.end(call)
+        host.end_session(call)
     platform.run(1)
-    assert all(end.of(call, MessageKind.RELEASE) for call in calls)
+    assert all(end.messages_for(call, MessageKind.RELEASE) for call in calls)
 
 
 def test_a_session_end_on_a_breaking_connection_is_received_on_the_next():
     platform = Platform("a", script=later(0.01))
     host, end = platform.hosts["a"], platform.viewer()
-    calls = [platform.ask(end, figures="home:0;copies:4;top:0") for _ in range(3)]
+    calls = [platform.send_set_up(end, figures="home:0;copies:4;top:0") for _ in range(3)]
     platform.run(0.2)
-    assert len(host.live()) == 3
+    assert len(host.open_connections()) == 3
     for call in calls:
-        host.again.append((call, Cause.NORMAL_CLEARING))
-        host.home[call].stream.abort()
+        host.unconfirmed_ends.append((call, Cause.NORMAL_CLEARING))
+        host.connection_of[call].stream.abort()
         platform.run(0.2)
-        assert end.of(call, MessageKind.RELEASE)
+        assert end.messages_for(call, MessageKind.RELEASE)
 
 
 def test_an_unanswered_set_up_does_not_delay_others_at_the_same_host():
     platform = Platform("a")
     host, end = platform.hosts["a"], platform.viewer()
     host.script = silent
-    stuck = platform.ask(end, "paid", ms=1500)
+    stuck = platform.send_set_up(end, "paid", ms=1500)
     platform.run(0.02)
     host.script = play
-    quick = platform.ask(end, figures="home:0;copies:4;top:0")
+    quick = platform.send_set_up(end, figures="home:0;copies:4;top:0")
     platform.run(0.02)
-    assert one_answer(end, quick).kind == MessageKind.ANSWER and not end.of(stuck)
+    assert one_answer(end, quick).kind == MessageKind.ANSWER and not end.messages_for(stuck)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -77,13 +77,15 @@
     end = platform.viewer()
     names = [each["name"] for each in settings["services"]]
     tenant = (settings.get("accounts") or [{"name": None}])[0]["name"]
-    calls = [platform.ask(end, name, ms=400, tenant=tenant) for name in names]
+    calls = [platform.send_set_up(end, name, ms=400, tenant=tenant) for name in names]
     platform.run(0.1)
     platform.hosts["a"].node.kill()
-    calls += [platform.ask(end, name, ms=400, tenant=tenant) for name in names]
+    calls += [platform.send_set_up(end, name, ms=400, tenant=tenant) for name in names]
     platform.run(6)
     for call in calls if end.closed_by is None else ():
-        assert len([m for m in end.of(call) if m.kind in (MessageKind.ANSWER, MessageKind.RELEASE)]) in (1, 2)
+        assert len(
+            [m for m in end.messages_for(call) if m.kind in (MessageKind.ANSWER, MessageKind.RELEASE)]
+        ) in (1, 2)
     return True
 
 
