--- a/mintmast/decisions/calls/calls.py
+++ b/mintmast/decisions/calls/calls.py
@@ -89,7 +89,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewerRequest:
-    """A viewer's parsed set-up. Hosts get the class, title and description in `passed` unchanged."""
+    """A viewer's parsed set-up. Hosts get the class, title and description in `forwarded` unchanged.
+
+    `budget` is the time for the answer and `length_hint` the likely length of the session, in µs.
+    """
 
     call_id: bytes
     service: int
@@ -107,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendSetUp:
-    """Send a set-up to `host`, with a timeout at `until`. `passed` is forwarded unchanged."""
+    """Send a set-up to `host`, to be answered by `deadline`. `forwarded` is sent on unchanged."""
 
     call_id: bytes
     host: bytes
@@ -144,7 +147,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerRequest:
-    """Answer the viewer: the session is established and the host described it so."""
+    """Answer the viewer: the session is established, with the host's description of it."""
 
     call_id: bytes
     viewer: int
@@ -170,7 +173,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseToViewer:
-    """Release the session to the viewer; `whole` if it played to its end."""
+    """Release the session to the viewer."""
 
     call_id: bytes
     viewer: int
@@ -262,7 +265,7 @@
     def handle_request(
         self, now: int, request: ViewerRequest, viewer: int, received_at: int | None = None
     ) -> list[Command]:
-        """Pass a new set-up to the controller. Its time budget starts at `since`, or now if that is None.
+        """Pass a new set-up to the controller. Its time budget starts at `received_at`, or now if None.
 
         Raises ValueError if its call reference is in use.
         """
@@ -378,7 +381,7 @@
 
     def count_by_state(self) -> dict[str, int]:
         """Count the calls in each state."""
-        counts = {stage.value: 0 for stage in CallState}
+        counts = {state.value: 0 for state in CallState}
         for call in self.by_id.values():
             counts[call.state.value] += 1
         return counts
@@ -408,9 +411,8 @@
                 commands.append(AnswerRequest(call.id, call.viewer, observation.description))
             elif message is OutgoingMessage.RELEASE_TO_HOST:
                 commands.append(ReleaseToHost(call.id, call.host))
-            elif (
-                observation.outcome is not Outcome.CANCELLED
-            ):  # a viewer that ended its session gets no release
+            elif observation.outcome is not Outcome.CANCELLED:
+                # a viewer that ended its session gets no release
                 commands.append(ReleaseToViewer(call.id, call.viewer, observation.outcome is Outcome.SERVED))
         event = self._make_event(now, call, transition.controller_event, observation)
         call.state = transition.next_state or call.state
@@ -419,7 +421,7 @@
         elif transition.next_state is not CallState.CANCELLING:
             self._detach_from_host(call)
         if transition.next_state is None:
-            self._forget(call)
+            self._remove(call)
         return commands + self._dispatch(now, event)
 
     def _make_event(
@@ -444,7 +446,7 @@
         ):
             del self._by_host[call.host]
 
-    def _forget(self, call: Call) -> None:
+    def _remove(self, call: Call) -> None:
         self._detach_from_host(call)
         self.by_id.pop(call.id, None)
         self._by_number.pop(call.number, None)
@@ -484,10 +486,10 @@
             deadline = min(action.timeout_at or call.deadline, call.deadline)
             commands.append(SendSetUp(call.id, call.host, call.attempt, call.rung, deadline, call.forwarded))
         elif isinstance(action, api.Refuse):
-            self._forget(call)
+            self._remove(call)
             commands.append(RefuseRequest(call.id, call.viewer, action.retry_after))
         elif isinstance(action, api.Fail):
-            self._forget(call)
+            self._remove(call)
             commands.append(FailRequest(call.id, call.viewer))
         elif isinstance(action, api.Cancel):
             if call.state is CallState.CANCELLING and action.attempt == call.attempt:
@@ -500,7 +502,7 @@
                         _Observation(CallEvent.VIEWER_LEFT, Outcome.CANCELLED),
                     )
                 )
-                self._forget(call)
+                self._remove(call)
         elif isinstance(action, api.Move) and call.state is CallState.ESTABLISHED:
             commands += (MoveViewer(call.id, call.viewer), ReleaseToHost(call.id, call.host))
             events.append(
@@ -511,4 +513,4 @@
                     _Observation(CallEvent.SESSION_ENDED, Outcome.CANCELLED),
                 )
             )
-            self._forget(call)
+            self._remove(call)
--- a/mintmast/signalling/changelog.py
+++ b/mintmast/signalling/changelog.py
@@ -42,7 +42,7 @@
         self._reader = EventReader(self._receive_event, MAX_EVENT_BYTES)
         self._failures = self._last_received_at = 0
         self._highest_version = -1  # the highest list version received
-        self._refetched_after: int | None = None
+        self._refetched_after: int | None = None  # where a gap was found and requested again
         self._timer: Timer | None = loop.call_soon(self._subscribe)
 
     def change_address(self, address: Address) -> None:
@@ -95,18 +95,18 @@
         headers = [("Accept", "text/event-stream"), ("Last-Event-ID", str(self.seq))]
         request: Call | None = None
 
-        def over(reply: Reply | CallFailure) -> None:
+        def on_done(reply: Reply | CallFailure) -> None:
             if self._request is request:
                 self._handle_stream_end(reply)
 
-        def chunk(data: bytes) -> None:
+        def on_chunk(data: bytes) -> None:
             self._last_received_at = self.loop.now()
             if self._request is request and request is not None and not self._reader.feed(data):
                 self._log("changelog", state="unreadable", seq=self.seq)
                 request.cancel()
 
         request = self._request = self._client.call(
-            self.address, "GET", "/changes", over, headers, on_chunk=chunk
+            self.address, "GET", "/changes", on_done, headers, on_chunk=on_chunk
         )
         self._schedule(SILENCE_TIMEOUT_US, self._check_silence)
 
--- a/mintmast/signalling/hostconnection.py
+++ b/mintmast/signalling/hostconnection.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A set-up in progress at a host; it needs a working connection by `connect_by`."""
+    """A set-up in progress at a host; it needs a working connection by `connect_deadline`."""
 
     call_id: bytes
     frame: bytes
--- a/mintmast/signalling/hosts.py
+++ b/mintmast/signalling/hosts.py
@@ -42,7 +42,7 @@
     def handle_note(self, host: bytes, call_id: bytes, name: str, text: str) -> None:
         """Process a note about a session."""
 
-    def handle_host_death(self, host: bytes, when: int, why: str) -> None:
+    def handle_host_death(self, host: bytes, when: int, reason: str) -> None:
         """Process the death of the host's process, observed at `when`; its sessions ended with it."""
 
     def has_sessions(self, host: bytes) -> bool:
@@ -69,7 +69,7 @@
         loop.call_at(loop.now() + CHECK_PERIOD_US, self._check_pools)
 
     def update_host(self, host: bytes, address: Address, is_gone: bool, is_new_process: bool = False) -> None:
-        """Update a host from the list; `anew` if its process has restarted."""
+        """Update a host from the list; `is_new_process` if it has restarted."""
         pool = self.pools.get(host)
         if pool is None:
             if is_gone:
@@ -80,16 +80,12 @@
         elif is_new_process:
             pool.record_arrival()
         pool.left_list = is_gone
-        pools_at_address = [
-            pool_at_address
-            for pool_at_address in self.pools.values()
-            if pool_at_address.address == pool.address
-        ]
-        for pool_at_address in pools_at_address:
-            if any(other.replaces(pool_at_address) for other in pools_at_address):
-                pool_at_address.mark_replaced()
+        pools_at_address = [each for each in self.pools.values() if each.address == pool.address]
+        for each in pools_at_address:
+            if any(other.replaces(each) for other in pools_at_address):
+                each.mark_replaced()
             else:
-                pool_at_address.is_replaced = pool_at_address.is_replaced and pool_at_address.left_list
+                each.is_replaced = each.is_replaced and each.left_list
 
     def send_set_up(self, host: bytes, call_id: bytes, frame: bytes, deadline: int) -> None:
         """Send a set-up. Exactly one report of its answer or its end follows, unless it is cancelled."""
@@ -354,9 +350,10 @@
                 connection.abort(CloseReason.RESET)
             self._report_dead("replaced")
 
-    def _report_dead(self, why: str) -> None:
+    def _report_dead(self, reason: str) -> None:
         self.pending_releases.clear()
-        self.hosts.loop.call_soon(self.hosts.events.handle_host_death, self.host, self.hosts.loop.now(), why)
+        now = self.hosts.loop.now()
+        self.hosts.loop.call_soon(self.hosts.events.handle_host_death, self.host, now, reason)
 
     def check_connections(self) -> None:
         """Check the host's connections: health checks, timeouts, spare ones, and one to keep for sessions."""
--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """A decoded message; `call` is its call reference. If `fault` is set, its parameters were malformed."""
+    """A decoded message; `call_id` is its call reference. With `fault` its parameters were malformed."""
 
     kind: int
     call_id: bytes
@@ -107,7 +107,7 @@
 
 
 def encode_release(call_id: bytes, cause: Cause | int, retry_after_ms: int = 0) -> bytes:
-    """Encode a release; `stay_away` is the retry advice in ms, 0 for none."""
+    """Encode a release; `retry_after_ms` is the retry advice, 0 for none."""
     params = [(Param.CAUSE, bytes((cause,)))]
     if retry_after_ms > 0:
         params.append((Param.RETRY_AFTER, b"%d" % retry_after_ms))
@@ -125,7 +125,7 @@
 
 
 class MessageReader:
-    """Incremental decoder for one connection; `broken` once the framing is lost."""
+    """Incremental decoder for one connection; `is_broken` once the framing is lost."""
 
     __slots__ = ("_buffer", "is_broken")
 
--- a/mintmast/signalling/node.py
+++ b/mintmast/signalling/node.py
@@ -87,17 +87,17 @@
         self._early_ends: dict[bytes, Cause] = {}  # sessions that ended before a possible handover, and how
         self.is_stopping = False
         self.on_stopped: Callable[[], None] = lambda: None
-        viewers = int(config.limits.sockets * VIEWER_SOCKET_SHARE)
-        hosts = max(1, config.limits.sockets - viewers - RESERVED_SOCKETS)
+        viewer_sockets = int(config.limits.sockets * VIEWER_SOCKET_SHARE)
+        host_sockets = max(1, config.limits.sockets - viewer_sockets - RESERVED_SOCKETS)
         caps = adapter_settings.caps
         max_bytes = int(config.limits.memory_mb * (1 << 20) * SET_UP_MEMORY_SHARE)
-        self.hosts = MediaHosts(loop, self, HostLimits(caps.connect_timeout, caps.idle_close, hosts))
+        self.hosts = MediaHosts(loop, self, HostLimits(caps.connect_timeout, caps.idle_close, host_sockets))
         schema = RequestSchema(
-            {each.name.encode(): place for place, each in enumerate(adapter_settings.services)},
+            {each.name.encode(): index for index, each in enumerate(adapter_settings.services)},
             tuple(each.deadline for each in settings.classes),
-            {each.name.encode(): place for place, each in enumerate(adapter_settings.accounts)},
+            {each.name.encode(): index for index, each in enumerate(adapter_settings.accounts)},
         )
-        self.viewers = Viewers(loop, self, schema, viewers, max_bytes, log)
+        self.viewers = Viewers(loop, self, schema, viewer_sockets, max_bytes, log)
         self._execute(self.calls.start(loop.now()))
         self.changelog = ChangeLog(loop, parse_address(config.changelog), 0, self._handle_list_event, log)
         self._apply_known(config)
@@ -199,7 +199,7 @@
     # Callbacks of viewers
 
     def handle_set_up(self, viewer: int, parsed: ParsedSetUp, received_at: int) -> None:
-        """Process a set-up or a session's handover that arrived at `since`."""
+        """Process a set-up or a session's handover that arrived at `received_at`."""
         now = self.loop.now()
         if not parsed.playing_host:
             self._execute(self.calls.handle_request(now, parsed.request, viewer, received_at))
@@ -295,11 +295,11 @@
         if kind is not None and value is not None:
             self._execute(self.calls.handle_note(self.loop.now(), call_id, host, kind, value))
 
-    def handle_host_death(self, host: bytes, when: int, why: str) -> None:
+    def handle_host_death(self, host: bytes, when: int, reason: str) -> None:
         """End the host's sessions that are older than `when`: its process has died."""
         commands = self.calls.handle_host_death(self.loop.now(), host, when)
         if commands:
-            self.log("dead", host=host.decode(), why=why, sessions=len(commands))
+            self.log("dead", host=host.decode(), why=reason, sessions=len(commands))
         self._execute(commands)
 
     def has_sessions(self, host: bytes) -> bool:
@@ -315,6 +315,7 @@
         return tuple(float("nan") if value is None else value for value in values)
 
     # Commands
+
     def _execute(self, commands: list[cmd.Command]) -> None:
         for command in commands:
             _COMMAND_HANDLERS[type(command)](self, command)
@@ -406,7 +407,7 @@
 
     # a stalled process answers late, and no other log line would show afterwards that it stalled, whether the
     # machine or the process itself was the cause
-    loop.on_stall = lambda took: log("event loop stalled", ms=took / US_PER_MS)
+    loop.on_stall = lambda duration: log("event loop stalled", ms=duration / US_PER_MS)
     node.on_stopped = loop.stop
     tune_garbage_collector()
     log("serving", hosts=len(node._listed_hosts), seq=node.changelog.seq)
--- a/mintmast/signalling/set_up_parser.py
+++ b/mintmast/signalling/set_up_parser.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedSetUp:
-    """A valid set-up; `at` is the id of the host where the session already plays, or empty for a new one."""
+    """A valid set-up; `playing_host` is the id of the host if the session already plays, else empty."""
 
     request: ViewerRequest
     playing_host: bytes = b""
--- a/mintmast/signalling/viewerconnection.py
+++ b/mintmast/signalling/viewerconnection.py
@@ -29,7 +29,7 @@
     end_offset: int  # bytes that the connection has handed to the network once it is fully sent
     call_id: bytes
     frame: bytes
-    is_session_end: bool
+    is_session_end: bool  # else it is an answer
 
 
 class ViewerConnection(Handler):
@@ -119,9 +119,8 @@
         del self.queued_set_ups[call_id]
         if self.viewers.events.is_established(call_id) is None:
             self.viewers.events.handle_set_up(self.number, parsed, received_at)
-        elif self.close_set_up(
-            call_id
-        ):  # another connection submitted a set-up with the same call reference first
+        elif self.close_set_up(call_id):
+            # another connection submitted a set-up with the same call reference first
             self._reject_set_up(call_id, Cause.INVALID_CALL_REFERENCE, True)
 
     def _handle_message(self, message: Message) -> None:
@@ -145,9 +144,8 @@
 
     def _handle_set_up(self, message: Message) -> None:
         call_id = message.call_id
-        if (
-            call_id in self.open_set_ups
-        ):  # an answer could not be told apart between two set-ups of one call reference
+        if call_id in self.open_set_ups:
+            # an answer could not be attributed to one of two set-ups with the same call reference
             self.close_with_error(
                 Cause.PROTOCOL_ERROR, f"duplicate set-up for call reference {call_id.hex()}"
             )
@@ -173,7 +171,7 @@
             self.write(encode_release(call_id, Cause.SWITCHING_EQUIPMENT_CONGESTION))
 
     def _reject_set_up(self, call_id: bytes, cause: Cause, is_known: bool) -> None:
-        """Fail an invalid set-up; `known` if its call reference is already in use."""
+        """Fail an invalid set-up; `is_known` if its call reference is already in use."""
         self.write(encode_release(call_id, cause))
         if is_known and self.had_session:
             self.viewers.fail_duplicate(call_id)
@@ -237,7 +235,7 @@
         self.close()
 
     def close(self, linger: bool = False) -> None:
-        """Stop reading, flush queued data and close; with `finish` only once the peer has closed."""
+        """Stop reading, flush queued data and close; with `linger` only once the peer has closed."""
         if not self.is_closing:
             self.is_closing, self.closing_since = True, self.viewers.loop.now()
             if self.stream is not None and linger:
@@ -257,10 +255,9 @@
             self.viewers.log(
                 "viewer disconnected", peer=self.peer, how=reason.value, sessions=len(self.sessions)
             )
-        handed_over = self.stream.bytes_sent if self.stream is not None else 0
-        undelivered = [
-            told for told in self._unconfirmed if told.end_offset > min(handed_over, self._settled_offset)
-        ]
+        bytes_sent = self.stream.bytes_sent if self.stream is not None else 0
+        delivered = min(bytes_sent, self._settled_offset)
+        undelivered = [message for message in self._unconfirmed if message.end_offset > delivered]
         self._unconfirmed.clear()
         self.is_closing, self.stream = True, None
         self.viewers.handle_closed(self, undelivered)
--- a/mintmast/signalling/viewers.py
+++ b/mintmast/signalling/viewers.py
@@ -28,7 +28,7 @@
     """Callbacks for events of viewers."""
 
     def handle_set_up(self, viewer: int, parsed: ParsedSetUp, received_at: int) -> None:
-        """Process a set-up that arrived at `since`; its timeout counts from then."""
+        """Process a set-up that arrived at `received_at`; its timeout counts from then."""
 
     def handle_viewer_left(self, call_id: bytes) -> None:
         """Process a cancellation, a release or a disconnect: the viewer no longer waits for the call."""
@@ -41,7 +41,7 @@
 
 
 class Viewers:
-    """All connections from viewers: at most `most`, with set-ups in progress of at most `room` bytes."""
+    """All connections from viewers, with bounds on their number and on the bytes of set-ups in progress."""
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
                 return
 
     def reject(self, viewer: int, call_id: bytes, cause: Cause, retry_after_ms: int = 0) -> None:
-        """Refuse or fail a set-up; `stay_away` is the retry advice in ms, 0 for none."""
+        """Refuse or fail a set-up; `retry_after_ms` is the retry advice, 0 for none."""
         connection = self.connections.get(viewer)
         if connection is not None and connection.close_set_up(call_id):
             connection.write(encode_release(call_id, cause, retry_after_ms))
@@ -177,12 +177,12 @@
         end is sent on another connection.
         """
         self.connections.pop(connection.number, None)
-        for told in undelivered:
-            if told.is_session_end:
-                self._send_elsewhere(connection.peer, told.call_id, told.frame)
-            elif told.call_id in connection.sessions:
-                connection.sessions.discard(told.call_id)
-                self.events.handle_viewer_left(told.call_id)
+        for message in undelivered:
+            if message.is_session_end:
+                self._send_elsewhere(connection.peer, message.call_id, message.frame)
+            elif message.call_id in connection.sessions:
+                connection.sessions.discard(message.call_id)
+                self.events.handle_viewer_left(message.call_id)
         for call_id in connection.sessions:
             self._session_peers[call_id] = connection.peer
 
