--- a/mintmast/signalling/configuration.py
+++ b/mintmast/signalling/configuration.py
@@ -13,7 +13,7 @@
 class ConfigError(Exception):
     """The configuration is invalid or unreadable; the message is one line.
 
-    `is_retryable` is set if a lack of file descriptors kept the file from being read, so that a retry may succeed.
+    `is_retryable` is set if the file could not be read for lack of file descriptors: a retry may succeed.
     """
 
     is_retryable = False
--- a/tests/test_crossings_sockets.py
+++ b/tests/test_crossings_sockets.py
@@ -59,9 +59,9 @@
 
     def run_until(self, condition):
         """Run the loop until `condition` returns a true value, and return that."""
-        late = self.loop.now() + DEADLINE
+        deadline = self.loop.now() + DEADLINE
         while not (found := condition()):
-            assert self.loop.now() < late, "condition not met in time"
+            assert self.loop.now() < deadline, "condition not met in time"
             self.loop.turn(self.loop.now() + 5000)
         assert not self.faults
         return found
@@ -109,24 +109,24 @@
     return number.to_bytes(8)
 
 
-@pytest.mark.parametrize("gone", ["closed", "shut", "reset", "cancelled"])
-def test_few_of_hundreds_of_set_ups_are_submitted_if_their_viewer_has_left(gone):
+@pytest.mark.parametrize("how", ["closed", "shut", "reset", "cancelled"])
+def test_few_of_hundreds_of_set_ups_are_submitted_if_their_viewer_has_left(how):
     bench = Bench()
     bench.turn()
     viewer = bench.viewer()
     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
     calls = [call_id_of(number) for number in range(1, 301)]
     viewer.sendall(b"".join(map(set_up, calls)))
-    if gone == "cancelled":
+    if how == "cancelled":
         viewer.sendall(b"".join(encode_release(call, Cause.NORMAL_CLEARING) for call in calls))
-    elif gone == "shut":
+    elif how == "shut":
         viewer.shutdown(socket.SHUT_WR)
     else:
-        if gone == "reset":
+        if how == "reset":
             viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         viewer.close()
     bench.run_until(lambda: bench.node.viewers.connections)
-    if gone == "cancelled":
+    if how == "cancelled":
         assert all(
             message.kind == MessageKind.RELEASE_COMPLETE for message in bench.read_messages(viewer, 300)
         )
@@ -399,8 +399,8 @@
             pass
 
     sink = Full()
-    say = make_log_function(sink, lambda: 1.0)
-    say("one")
+    log = make_log_function(sink, lambda: 1.0)
+    log("one")
     sink.full = False
-    say("two")
+    log("two")
     assert '"event":"two"' in sink.text and '"left_out":1' in sink.text
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("what", KNOWN)
 def test_a_reload_while_hosts_drain_keeps_the_drains_and_ends_no_session(what):
     """Fails if the change log processes duplicate sequence numbers, which undoes the drains."""
-    (seq, *results), asked = KNOWN[what]
+    (seq, *results), requested_id = KNOWN[what]
     platform = Platform("a", "b", "c")
     end, other = platform.viewer(), OtherLog(platform)
     established = [platform.send_set_up(end) for _ in range(12)]
@@ -88,7 +88,7 @@
     known = _Known(seq, tuple(results))
     platform.node.reload(msgspec.structs.replace(platform.config, changelog="log2:2379", known=known))
     platform.run(0.05)
-    assert other.requested_ids == [asked]
+    assert other.requested_ids == [requested_id]
     other.send(event_frame(list_event(3, host_entry("b", "Terminating"))))
     platform.run(0.05)
     new = [platform.send_set_up(end) for _ in range(12)]
@@ -152,9 +152,9 @@
     node, ids = platform.node, {each["id"].encode() for each in listed}
     assert set(node._listed_hosts) == ids and node.changelog.seq == 3 and log.requested_ids == ["1"]
     kept = [call for call in calls if home_of(platform, call).name != "b"]
-    gone = [call for call in calls if call not in kept]
+    removed = [call for call in calls if call not in kept]
     # a host that left the list keeps its sessions while it is reachable at its address
-    assert all(bool(end.messages_for(call, MessageKind.RELEASE)) == successor for call in gone)
+    assert all(bool(end.messages_for(call, MessageKind.RELEASE)) == successor for call in removed)
     assert not any(end.messages_for(call, MessageKind.RELEASE) for call in kept) and not (
         hosts["a"].releases or hosts["d"].releases
     )
@@ -331,14 +331,14 @@
         for host in platform.hosts.values():
             host.handle_message = lambda end, message: None
     count = AnswerCounter(platform)
-    ends, left = [count.viewer() for _ in range(3)], platform.viewer()
+    ends, leaving = [count.viewer() for _ in range(3)], platform.viewer()
     for _ in range(4):
         for end in ends:
             for ms in (150, 400, 1200, 2500):
                 count.send_set_up(end, service, ms)
-        platform.send_set_up(left, service)  # needs no answer once its connection is closed
+        platform.send_set_up(leaving, service)  # needs no answer once its connection is closed
         platform.run(0.08)
-    left.stream.close()
+    leaving.stream.close()
     platform.run(4)
     assert len(count.deadlines) == 48 and count.unanswered() == count.duplicates() == []
     assert set(platform.node.calls.by_id) == count.answered and not platform.node.viewers.bytes_held
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -95,9 +95,9 @@
         return hosts[-1]
 
     def run_until(condition):
-        late = loop.now() + TIMEOUT_US
+        deadline = loop.now() + TIMEOUT_US
         while not condition():
-            assert loop.now() < late, "condition not met in time"
+            assert loop.now() < deadline, "condition not met in time"
             loop.turn(loop.now() + 5000)
 
     def viewers(first, **change):
@@ -112,23 +112,23 @@
     process = start_process(path)
     try:
         wait_for_event(process, "serving")
-        asked = viewers(1)
+        first_viewers = viewers(1)
         incomplete = [Viewer(loop, port, set_up(b"half5678", "paid")[:40]), Viewer(loop, port, b"")]
         if kill == "in the backlog":
             run_until(lambda: len(set_ups) == 6)
             os.kill(process.pid, signal.SIGSTOP)  # the kernel still completes connections in the backlog
-            asked += viewers(7)
-        run_until(lambda: all(each.is_open for each in asked + incomplete))
+            first_viewers += viewers(7)
+        run_until(lambda: all(each.is_open for each in first_viewers + incomplete))
         if kill == "unanswered":
             run_until(lambda: len(set_ups) == 6)
         elif kill == "with sessions playing":
-            run_until(lambda: all(each.messages for each in asked))
+            run_until(lambda: all(each.messages for each in first_viewers))
         process.kill()
         process.wait()
         process = start_process(path)
-        run_until(lambda: all(each.closed_by for each in asked + incomplete + hosts))
-        heard = [message.kind for each in asked + incomplete for message in each.messages]
-        assert heard == ([MessageKind.ANSWER] * 6 if kill == "with sessions playing" else [])
+        run_until(lambda: all(each.closed_by for each in first_viewers + incomplete + hosts))
+        answers = [message.kind for each in first_viewers + incomplete for message in each.messages]
+        assert answers == ([MessageKind.ANSWER] * 6 if kill == "with sessions playing" else [])
         wait_for_event(process, "serving")
         monkeypatch.setattr(Host, "plays", True)
         new = [Viewer(loop, port, messages.encode_health_check(bytes(8))), *viewers(101)]
@@ -136,14 +136,14 @@
         assert new[0].messages[0].kind == MessageKind.HEALTH_CHECK_REPLY and new[0].messages[0].cause == 1
         assert {each.messages[0].kind for each in new[1:]} == {MessageKind.ANSWER}
         if kill == "with sessions playing":  # the viewers hand over the playing sessions; the host ends them
-            told = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
-            run_until(lambda: all(each.is_open for each in told))
+            handed_over = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
+            run_until(lambda: all(each.is_open for each in handed_over))
             loop.run(loop.now() + 200_000)
             connection = next(each for each in hosts if not each.closed_by)
             for number in range(1, 7):
                 connection.stream.write(encode_release(number.to_bytes(8), Cause.NORMAL_CLEARING))
-            run_until(lambda: all(each.messages for each in told))
-            assert all(each.messages[0].cause == Cause.NORMAL_CLEARING for each in told)
+            run_until(lambda: all(each.messages for each in handed_over))
+            assert all(each.messages[0].cause == Cause.NORMAL_CLEARING for each in handed_over)
         loop.run(loop.now() + 200_000)  # set-ups of the killed process must not arrive again
         counts = Counter(int.from_bytes(call) for call in set_ups)
         assert max(counts.values()) == 1 and set(range(101, 107)) <= counts.keys()
@@ -185,11 +185,11 @@
         known = {"seq": seq, "results": [list_event(seq, *map(self.entry, names), full=True)]}
         self.machines = []
         for me in range(COUNT):
-            told = {"name": f"n{me}", "listen": f"g{me}:5060", "seed": f"{me + 1:x}", "known": known}
-            told |= {"limits": {"sockets": 256}, "changelog": "log:2379"}
-            told["settings"] = msgspec.Raw(msgspec.json.encode(self.settings | {"me": me}))
+            document = {"name": f"n{me}", "listen": f"g{me}:5060", "seed": f"{me + 1:x}", "known": known}
+            document |= {"limits": {"sockets": 256}, "changelog": "log:2379"}
+            document["settings"] = msgspec.Raw(msgspec.json.encode(self.settings | {"me": me}))
             self.machines.append(platform.world.node(f"g{me}"))
-            Node(self.machines[-1], msgspec.convert(told, Config), lambda event, **fields: None)
+            Node(self.machines[-1], msgspec.convert(document, Config), lambda event, **fields: None)
 
     def send_load(self, seconds):
         """Send each gateway twelve set-ups a second."""
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -31,15 +31,15 @@
 @given(st.lists(st.one_of(SOUND, BYTES), max_size=6), st.lists(st.integers(1, 60), min_size=1, max_size=20))
 def test_fragmentation_does_not_change_the_decoded_messages_and_buffering_is_bounded(parts, sizes):
     data = b"".join(parts)
-    whole = MessageReader()
-    want = whole.feed(data)
+    reference = MessageReader()
+    expected = reference.feed(data)
     reader, got, at, turn = MessageReader(), [], 0, 0
     while at < len(data):
         size = sizes[turn % len(sizes)]
         got += reader.feed(data[at : at + size])
         assert len(reader._buffer) <= MAX_MESSAGE_BYTES + 2
         at, turn = at + size, turn + 1
-    assert got == want and reader.is_broken == whole.is_broken
+    assert got == expected and reader.is_broken == reference.is_broken
 
 
 @given(SOUND)
@@ -61,13 +61,13 @@
     )
 )
 def test_arbitrary_set_up_parameters_give_a_bounded_request_or_a_cause(params):
-    asked = set_up_parser.parse_set_up(Message(MessageKind.SET_UP, b"12345678", params), TERMS)
-    if isinstance(asked, Cause):
+    parsed = set_up_parser.parse_set_up(Message(MessageKind.SET_UP, b"12345678", params), TERMS)
+    if isinstance(parsed, Cause):
         return
-    wish = asked.request
-    assert wish.service in (0, 1) and wish.tenant == 0 and 0 <= wish.title < 1 << 64
-    assert wish.copies >= 1 and 0 <= wish.best_rung <= 255 and 0 <= wish.home_cell < 65_536
-    assert asked.playing_host or 0 < wish.budget <= TERMS.max_timeouts[wish.service]
+    request = parsed.request
+    assert request.service in (0, 1) and request.tenant == 0 and 0 <= request.title < 1 << 64
+    assert request.copies >= 1 and 0 <= request.best_rung <= 255 and 0 <= request.home_cell < 65_536
+    assert parsed.playing_host or 0 < request.budget <= TERMS.max_timeouts[request.service]
 
 
 @settings(max_examples=100, deadline=None)
@@ -102,19 +102,19 @@
 
 def test_a_new_log_address_in_the_middle_of_an_event_resumes_after_the_last_event():
     platform = Platform("a")
-    whole = b"data: " + _json(list_event(2, host_entry("b"))) + b"\n\n"
-    platform.log.send(whole[:40])
+    frame = b"data: " + _json(list_event(2, host_entry("b"))) + b"\n\n"
+    platform.log.send(frame[:40])
     platform.run(0.01)
     platform.config.changelog = "log:2380"
-    asked = []
+    requests = []
 
     class Other:
         def opened(self, stream):
             self.stream = stream
 
         def received(self, data):
-            asked.append(data)
-            self.stream.write(b"HTTP/1.1 200 OK\r\n\r\n" + whole)
+            requests.append(data)
+            self.stream.write(b"HTTP/1.1 200 OK\r\n\r\n" + frame)
 
         def closed(self, reason):
             pass
@@ -122,7 +122,7 @@
     platform.world.nodes["log"].listen("log", 2380, Other)
     platform.node.reload(platform.config)
     platform.run(0.2)
-    assert b"Last-Event-ID: 1\r\n" in asked[0] and b"id-b" in platform.node._listed_hosts
+    assert b"Last-Event-ID: 1\r\n" in requests[0] and b"id-b" in platform.node._listed_hosts
 
 
 def test_the_settings_of_the_tests_are_valid():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -264,7 +264,7 @@
     assert (
         0
         < viewers.bytes_held
-        == sum(line.bytes_held for line in viewers.connections.values())
+        == sum(connection.bytes_held for connection in viewers.connections.values())
         <= viewers.max_bytes / 2
     )
     assert {one_answer(flood, call).cause for call in calls[-30:]} == {Cause.SWITCHING_EQUIPMENT_CONGESTION}
@@ -297,8 +297,8 @@
 def test_a_peer_that_does_not_read_its_answer_is_aborted():
     platform = Platform("a")
     end = platform.viewer()
-    line = next(iter(platform.node.viewers.connections.values()))
-    line.stream.close = lambda: None
+    connection = next(iter(platform.node.viewers.connections.values()))
+    connection.stream.close = lambda: None
     platform.send_set_up(end, service="gold")
     platform.run(3)
     assert not platform.node.viewers.connections
@@ -338,14 +338,14 @@
 def test_the_change_log_resumes_after_a_break_and_each_event_counts_once():
     platform = Platform("a")
     log = platform.log
-    whole = b"id: 2\ndata: " + _json(list_event(2, host_entry("b"))) + b"\n\n"
-    log.send(whole[: len(whole) // 2])
+    frame = b"id: 2\ndata: " + _json(list_event(2, host_entry("b"))) + b"\n\n"
+    log.send(frame[: len(frame) // 2])
     platform.run(0.05)
     assert len(platform.node._listed_hosts) == 1
     log.streams[0].abort()
     platform.run(0.2)
     assert log.requested_ids == ["1", "1"]
-    log.send(whole + whole)
+    log.send(frame + frame)
     platform.run(0.05)
     assert len(platform.node._listed_hosts) == 2 and platform.node.changelog.seq == 2
     assert sum(event == "list" for event, _ in platform.log_lines) == 2
@@ -416,12 +416,12 @@
         + encode_release(b"87654321", 41, 250)
         + encode(MessageKind.RELEASE_COMPLETE, bytes(8))
     )
-    whole = MessageReader().feed(data)
+    expected = MessageReader().feed(data)
     reader, parts = MessageReader(), []
     for at in range(len(data)):
         parts += reader.feed(data[at : at + 1])
-    assert parts == whole and len(whole) == 3 and whole[1].cause == 41
-    assert whole[1].params[Param.RETRY_AFTER] == b"250" and MS == 1000
+    assert parts == expected and len(expected) == 3 and expected[1].cause == 41
+    assert expected[1].params[Param.RETRY_AFTER] == b"250" and MS == 1000
 
 
 def _json(value):
--- a/tests/test_node_hard.py
+++ b/tests/test_node_hard.py
@@ -50,9 +50,9 @@
     call = platform.send_set_up(end, "paid", ms=400)
     platform.run(2)
     answer = one_answer(end, call)
-    stands = bool(platform.node.calls.by_id)
-    assert (answer.kind == MessageKind.ANSWER) == stands
-    assert stands or call in host.releases
+    is_established = bool(platform.node.calls.by_id)
+    assert (answer.kind == MessageKind.ANSWER) == is_established
+    assert is_established or call in host.releases
 
 
 def test_crossing_releases_of_host_and_viewer_end_the_session_once():
@@ -102,11 +102,11 @@
     call = platform.send_set_up(end, "paid")
     platform.run(0.05)
     (first,) = [name for name, host in platform.hosts.items() if host.set_ups]
-    (line,) = [e for e in platform.node.hosts.pools[f"id-{first}".encode()].connections if e.attempt]
+    (connection,) = [e for e in platform.node.hosts.pools[f"id-{first}".encode()].connections if e.attempt]
     other = platform.hosts["b" if first == "a" else "a"]
     other.script = play
-    line.stream.bytes_sent -= 1  # the network has not taken the last byte
-    line.stream.abort()
+    connection.stream.bytes_sent -= 1  # the network has not taken the last byte
+    connection.stream.abort()
     platform.run(0.1)
     assert one_answer(end, call).params[Param.DESCRIPTION] == b"from " + other.name.encode()
 
@@ -218,14 +218,14 @@
     alive = ["h0", "h1", "h2"]
     sizes = []
     for turn in range(120):
-        gone, new = alive.pop(0), f"h{turn + 3}"
+        removed, new = alive.pop(0), f"h{turn + 3}"
         alive.append(new)
         platform.hosts[new] = Host(platform, new)
-        platform.hosts.pop(gone).node.kill()
-        told = list_event(
-            turn + 2, host_entry(gone, "Gone"), host_entry(new, started=int(world.time / 1000) + 1)
+        platform.hosts.pop(removed).node.kill()
+        update = list_event(
+            turn + 2, host_entry(removed, "Gone"), host_entry(new, started=int(world.time / 1000) + 1)
         )
-        node.changelog.handle_event(told)
+        node.changelog.handle_event(update)
         end = platform.viewer()
         for _ in range(3):
             call = platform.send_set_up(end, figures="home:0;copies:4;top:0")
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -26,7 +26,7 @@
 
 
 def write_config(path, port, **change):
-    told = {
+    document = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "seed": "8c1f30d27a5be964",
@@ -35,7 +35,7 @@
         "known": {"seq": 1, "results": [list_event(1, host_entry("a", addr="127.0.0.1:1"), full=True)]},
         "settings": SETTINGS,
     } | change
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     return path
 
 
@@ -49,17 +49,17 @@
     command = [sys.executable, "-m", "mintmast", "node", str(path)]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
     # a test that waits for a log line then fails, as the output ends
-    late = threading.Timer(MAX_PROCESS_SECONDS, process.kill)
-    late.daemon = True
-    late.start()
+    timer = threading.Timer(MAX_PROCESS_SECONDS, process.kill)
+    timer.daemon = True
+    timer.start()
     return process
 
 
 def wait_for_event(process, event):
     for line in process.stderr:
-        said = json.loads(line)
-        if said["event"] == event:
-            return said
+        record = json.loads(line)
+        if record["event"] == event:
+            return record
     raise AssertionError(f"process ended without the log event {event!r}")
 
 
@@ -94,7 +94,7 @@
 def test_signals_before_the_configuration_is_read_are_not_lost(tmp_path):
     """The configuration is a named pipe, which blocks the start until the signals have been sent."""
     port = free_port()
-    text = write_config(tmp_path / "told.json", port, changelog="127.0.0.1:2").read_text()
+    text = write_config(tmp_path / "new.json", port, changelog="127.0.0.1:2").read_text()
     path = tmp_path / "config.json"
     os.mkfifo(path)
     process = start_process(path)
@@ -102,7 +102,7 @@
         with path.open("w") as pipe:  # blocks until the process opens the configuration
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGHUP)
-            (tmp_path / "told.json").replace(path)  # the next read gets a regular file
+            (tmp_path / "new.json").replace(path)  # the next read gets a regular file
             pipe.write(text)
         assert wait_for_event(process, "reloaded")["changelog"] == "127.0.0.1:2"
         assert check_health(port).kind == MessageKind.HEALTH_CHECK_REPLY
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("what", BAD)
 def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, what):
-    change, word = BAD[what]
+    change, expected = BAD[what]
     path = tmp_path / "config.json"
     if isinstance(change, str):
         path.write_text(change)
@@ -147,7 +147,7 @@
         write_config(path, free_port(), **change)
     process = start_process(path)
     _, error = process.communicate(timeout=30)
-    assert process.returncode == 2 and error.count("\n") == 1 and word in error
+    assert process.returncode == 2 and error.count("\n") == 1 and expected in error
 
 
 def test_no_unneeded_library_is_imported():
@@ -170,8 +170,8 @@
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.6)
         process.send_signal(signal.SIGCONT)
-        said = wait_for_event(process, "event loop stalled")
-        assert 250 < said["ms"] < 20_000
+        record = wait_for_event(process, "event loop stalled")
+        assert 250 < record["ms"] < 20_000
         process.send_signal(signal.SIGTERM)
         rest = [json.loads(line) for line in process.stderr]
         assert process.wait(20) == 0 and rest[-1]["event"] == "stopped"
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -120,8 +120,8 @@
     names = KNOWN.split()
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         site = tomllib.loads(path.read_text("utf-8"))
-        told = [site, *site["class"], *site.get("tenant", ()), *site["tier"], *site["tier"][0]["kind"]]
-        names += [each["name"] for each in told if len(each["name"]) > 8]
+        named = [site, *site["class"], *site.get("tenant", ()), *site["tier"], *site["tier"][0]["kind"]]
+        names += [each["name"] for each in named if len(each["name"]) > 8]
     assert len(names) > 12
     program = [*(ROOT / "mintmast").rglob("*.py"), ROOT / "deploy" / "balancer.toml"]
     found = [(path.name, name) for path in program for name in names if name in path.read_text("utf-8")]
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -49,9 +49,9 @@
     for me, port in enumerate(ports):
         family = SETTINGS["familyInfo"] | {"kindSlots": [60], "linksKb": 1e9, "rackLinkKb": 1e9}
         caps = SETTINGS["caps"] | {"connectTimeout": CONNECT}
-        told = {"me": me, "nInstances": COUNT, "invariants": PACE, "familyInfo": family, "caps": caps}
+        changes = {"me": me, "nInstances": COUNT, "invariants": PACE, "familyInfo": family, "caps": caps}
         path = tmp_path / f"{me}.json"
-        paths.append(write_config(path, port, known=known, settings=SETTINGS | told))
+        paths.append(write_config(path, port, known=known, settings=SETTINGS | changes))
     processes = [start_process(path) for path in paths]
     try:
         for process in processes:
