--- a/mintmast/signalling/hosts.py
+++ b/mintmast/signalling/hosts.py
@@ -352,8 +352,9 @@
 
     def _report_dead(self, reason: str) -> None:
         self.pending_releases.clear()
-        now = self.hosts.loop.now()
-        self.hosts.loop.call_soon(self.hosts.events.handle_host_death, self.host, now, reason)
+        self.hosts.loop.call_soon(
+            self.hosts.events.handle_host_death, self.host, self.hosts.loop.now(), reason
+        )
 
     def check_connections(self) -> None:
         """Check the host's connections: health checks, timeouts, spare ones, and one to keep for sessions."""
--- a/mintmast/signalling/viewerconnection.py
+++ b/mintmast/signalling/viewerconnection.py
@@ -256,8 +256,11 @@
                 "viewer disconnected", peer=self.peer, how=reason.value, sessions=len(self.sessions)
             )
         bytes_sent = self.stream.bytes_sent if self.stream is not None else 0
-        delivered = min(bytes_sent, self._settled_offset)
-        undelivered = [message for message in self._unconfirmed if message.end_offset > delivered]
+        undelivered = [
+            message
+            for message in self._unconfirmed
+            if message.end_offset > min(bytes_sent, self._settled_offset)
+        ]
         self._unconfirmed.clear()
         self.is_closing, self.stream = True, None
         self.viewers.handle_closed(self, undelivered)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -204,14 +204,14 @@
         return call
 
 
-def set_up(call, service="free", ms=3000, figures="home:0;copies:4;top:2", **change):
+def set_up(call, service="free", ms=3000, placement="home:0;copies:4;top:2", **change):
     params = {
         Param.CLASS: service,
         Param.TIMEOUT: str(ms),
         Param.TENANT: "acme",
         Param.TITLE: "7f3a9c21e0b4d655",
         Param.LENGTH_HINT: "8200.0",
-        Param.PLACEMENT: figures,
+        Param.PLACEMENT: placement,
         Param.DESCRIPTION: "v=0",
     } | {Param[name.upper()]: value for name, value in change.items()}
     return encode(MessageKind.SET_UP, call, [(k, v.encode()) for k, v in params.items() if v is not None])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,8 +23,8 @@
 
 
 def handover(platform, call, host="a", **change):
-    figures = f"home:0;copies:4;top:2;at:id-{host}"
-    return set_up(call, figures=figures, ms=None, description=None, **change)
+    placement = f"home:0;copies:4;top:2;at:id-{host}"
+    return set_up(call, placement=placement, ms=None, description=None, **change)
 
 
 # Names
@@ -278,7 +278,7 @@
     for way in (("gw", "a"), ("a", "gw")):
         platform.world.extra_delays[way] = 10 * MS
     end, host = platform.viewer(), platform.hosts["a"]
-    call = platform.send_set_up(end, "paid", figures="home:0;copies:1;top:2")
+    call = platform.send_set_up(end, "paid", placement="home:0;copies:1;top:2")
     platform.run(delay_ms / 1000)
     attempt = platform.node.hosts.pools[b"id-a"].attempts.get(call)
     if attempt is None or attempt.end_offset is not None:
@@ -326,7 +326,7 @@
         platform.log.send(event_frame(list_event(2 + cell, host_entry(name, cell=cell))))
     platform.run(0.1)
     for home in range(4):
-        call = platform.send_set_up(end, figures=f"home:{home};copies:1;top:2")
+        call = platform.send_set_up(end, placement=f"home:{home};copies:1;top:2")
         platform.run(0.1)
         assert one_answer(end, call).kind == MessageKind.ANSWER
         end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
@@ -337,6 +337,6 @@
     for cell, name in enumerate(names[4:]):
         platform.log.send(event_frame(list_event(30 + cell, host_entry(name, cell=cell))))
     platform.run(0.1)
-    call = platform.send_set_up(end, figures="home:0;copies:1;top:2")
+    call = platform.send_set_up(end, placement="home:0;copies:1;top:2")
     platform.run(0.1)
     assert one_answer(end, call).kind == MessageKind.ANSWER and platform.node.hosts.connections_in_use <= 4
--- a/tests/test_fleet_added.py
+++ b/tests/test_fleet_added.py
@@ -81,7 +81,7 @@
     assert answered_by(end, established) == {"a", "b", "c"}
     for host in platform.hosts.values():
         host.script = later(0.4)
-    out = [platform.send_set_up(end, "paid") for _ in range(12)]
+    in_progress = [platform.send_set_up(end, "paid") for _ in range(12)]
     platform.run(0.1)
     platform.log.send(event_frame(list_event(2, host_entry("a", "Terminating"))))
     platform.run(0.05)
@@ -93,8 +93,12 @@
     platform.run(0.05)
     new = [platform.send_set_up(end) for _ in range(12)]
     platform.run(0.6)
-    assert answered_by(end, new) == {"c"}  # a drains since before the reload, b since after it
-    assert answered_by(end, out) == {"a", "b", "c"}  # attempts in progress at the reload are still answered
+    assert answered_by(end, new) == {"c"}  # hosts a and b drain, since before and after the reload
+    assert answered_by(end, in_progress) == {
+        "a",
+        "b",
+        "c",
+    }  # attempts in progress at the reload are still answered
     assert len(platform.node.calls.by_id) == 36 and not any(host.releases for host in platform.hosts.values())
     for call in established:
         home_of(platform, call).end_session(call)
@@ -113,7 +117,7 @@
     """Fails with a silence timeout of 60 s: the client does not reconnect, and misses the change."""
     platform = Platform("a", "b", "c")
     log, end = platform.log, platform.viewer()
-    call = platform.send_set_up(end, figures="home:0;copies:4;top:0")
+    call = platform.send_set_up(end, placement="home:0;copies:4;top:0")
     platform.run(0.1)
     full_list = event_frame(list_event(2, host_entry("a"), host_entry("b"), full=True))
     log.send(full_list)
--- a/tests/test_fleet_added_processes.py
+++ b/tests/test_fleet_added_processes.py
@@ -136,7 +136,7 @@
         assert new[0].messages[0].kind == MessageKind.HEALTH_CHECK_REPLY and new[0].messages[0].cause == 1
         assert {each.messages[0].kind for each in new[1:]} == {MessageKind.ANSWER}
         if kill == "with sessions playing":  # the viewers hand over the playing sessions; the host ends them
-            handed_over = viewers(1, figures="home:0;copies:4;top:2;at:id-a")
+            handed_over = viewers(1, placement="home:0;copies:4;top:2;at:id-a")
             run_until(lambda: all(each.is_open for each in handed_over))
             loop.run(loop.now() + 200_000)
             connection = next(each for each in hosts if not each.closed_by)
@@ -156,14 +156,19 @@
 # Thirty gateways that start at once with cold hosts
 
 COUNT = 30
-COLD, FALL, STREAMS, MULTIPLE, FROM = 8 * SECOND, 1_500_000, 90, 2.5, 0.5
+WARM_UP_US, WINDOW_US, STREAMS, OVERLOAD_FACTOR, INITIAL_SHARE = 8 * SECOND, 1_500_000, 90, 2.5, 0.5
 
 
 class GatewayFleet:
     """Thirty gateways of one fleet with three hosts, all in their slow start."""
 
     def __init__(self):
-        pace = {"cold": COLD, "coldFrom": FROM, "fall": FALL, "overloadFactor": MULTIPLE}
+        pace = {
+            "cold": WARM_UP_US,
+            "coldFrom": INITIAL_SHARE,
+            "fall": WINDOW_US,
+            "overloadFactor": OVERLOAD_FACTOR,
+        }
         family = SETTINGS["familyInfo"] | {"kindSlots": [STREAMS], "linksKb": 1e9, "rackLinkKb": 1e9}
         self.settings = SETTINGS | {"nInstances": COUNT, "invariants": pace, "familyInfo": family}
         self.platform = Platform("a", "b", "c")
@@ -210,10 +215,12 @@
         """
         times = sorted(at for at, _ in self.platform.hosts[name].set_ups)
         worst = []
-        for place, begin in enumerate(times):
-            warmth = FROM + (1 - FROM) * min(1.0, (begin - self.started_at[name]) / COLD)
-            budget = MULTIPLE * STREAMS / COLD * warmth * FALL
-            worst.append(bisect_left(times, begin + FALL) - place - (budget + 2 * budget**0.5 + 2))
+        for index, begin in enumerate(times):
+            warm_up_share = INITIAL_SHARE + (1 - INITIAL_SHARE) * min(
+                1.0, (begin - self.started_at[name]) / WARM_UP_US
+            )
+            budget = OVERLOAD_FACTOR * STREAMS / WARM_UP_US * warm_up_share * WINDOW_US
+            worst.append(bisect_left(times, begin + WINDOW_US) - index - (budget + 2 * budget**0.5 + 2))
         return max(worst)
 
 
@@ -243,14 +250,14 @@
     platform.run(0.1)
     end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(300)
-    fired, do = 0, platform.gateway.run_callback
+    fired, run_callback = 0, platform.gateway.run_callback
 
-    def counted(what, *args):
+    def count_callback(what, *args):
         nonlocal fired
         fired += 1
-        do(what, *args)
+        run_callback(what, *args)
 
-    platform.gateway.run_callback = counted
+    platform.gateway.run_callback = count_callback
     tracemalloc.start()
     try:
         platform.run(300)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -149,12 +149,12 @@
     "negative hint": {"length_hint": "-5"},
     "hint not a number": {"length_hint": "nan"},
     "infinite hint": {"length_hint": "1e400"},
-    "copies below one": {"figures": "home:0;copies:0;top:1"},
-    "home with a fraction": {"figures": "home:0.5;copies:1;top:1"},
-    "no figures": {"figures": None},
-    "no copies": {"figures": "home:0;top:1"},
-    "duplicate figure": {"figures": "home:0;home:1"},
-    "figures without a colon": {"figures": "home"},
+    "copies below one": {"placement": "home:0;copies:0;top:1"},
+    "home with a fraction": {"placement": "home:0.5;copies:1;top:1"},
+    "no placement": {"placement": None},
+    "no copies": {"placement": "home:0;top:1"},
+    "duplicate figure": {"placement": "home:0;home:1"},
+    "placement without a colon": {"placement": "home"},
 }
 
 
@@ -258,7 +258,7 @@
     platform = Platform("a", script=silent)
     flood, viewers = platform.viewer(), platform.node.viewers
     viewers.max_bytes = 100_000
-    least = {"figures": "home:0;copies:4;top:0", "description": "x" * 3000}
+    least = {"placement": "home:0;copies:4;top:0", "description": "x" * 3000}
     calls = [platform.send_set_up(flood, "paid", ms=2900, **least) for _ in range(40)]
     platform.run(0.5)
     assert (
@@ -271,7 +271,7 @@
     assert len(platform.hosts["a"].set_ups) < 10
     platform.hosts["a"].script = play
     other = platform.viewer()
-    call = platform.send_set_up(other, figures="home:0;copies:4;top:0")
+    call = platform.send_set_up(other, placement="home:0;copies:4;top:0")
     platform.run(0.1)
     assert one_answer(other, call).kind == MessageKind.ANSWER
     platform.run(4)
@@ -283,13 +283,13 @@
     end = platform.viewer()
     end.stream.write(encode(MessageKind.HEALTH_CHECK, bytes(8), [(Param.CAUSE, b"\0")]))
     early, late, lost = b"early678", b"late5678", b"lost5678"
-    end.stream.write(set_up(early, figures="home:0;copies:4;top:2;at:id-a", timeout=None, description=None))
-    end.stream.write(set_up(lost, figures="home:0;copies:4;top:2;at:id-z", timeout=None, description=None))
+    end.stream.write(set_up(early, placement="home:0;copies:4;top:2;at:id-a", timeout=None, description=None))
+    end.stream.write(set_up(lost, placement="home:0;copies:4;top:2;at:id-z", timeout=None, description=None))
     platform.run(0.1)
     assert not end.messages_for(early) and platform.node.calls.has_session_at(b"id-a")
     assert one_answer(end, lost).kind == MessageKind.RELEASE
     platform.run(11)
-    end.stream.write(set_up(late, figures="home:0;copies:4;top:2;at:id-a", timeout=None, description=None))
+    end.stream.write(set_up(late, placement="home:0;copies:4;top:2;at:id-a", timeout=None, description=None))
     platform.run(0.1)
     assert one_answer(end, late).kind == MessageKind.RELEASE and len(platform.node.calls.by_id) == 1
 
@@ -392,7 +392,7 @@
     for _ in range(60):
         end = platform.viewer()
         if end.closed_by is None:
-            platform.send_set_up(end, "paid", ms=2900, figures="home:0;copies:4;top:0")
+            platform.send_set_up(end, "paid", ms=2900, placement="home:0;copies:4;top:0")
             platform.run(0.005)
     assert good.closed_by is None
     platform.hosts["a"].node.kill()
--- a/tests/test_node_hard.py
+++ b/tests/test_node_hard.py
@@ -146,7 +146,7 @@
 def test_a_session_handed_over_twice_and_released_twice_ends_once():
     platform = Platform("a")
     end, call = platform.viewer(), b"12345678"
-    found = set_up(call, figures="home:0;copies:4;top:2;at:id-a", timeout=None, description=None)
+    found = set_up(call, placement="home:0;copies:4;top:2;at:id-a", timeout=None, description=None)
     end.stream.write(found + found)
     platform.run(0.3)
     assert len(platform.node.calls.by_id) == 1 and platform.hosts["a"].open_connections()
@@ -174,7 +174,7 @@
     for call in ids:
         bad.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
     platform.run(0.01)
-    mine = platform.send_set_up(good, figures="home:0;copies:4;top:0")
+    mine = platform.send_set_up(good, placement="home:0;copies:4;top:0")
     platform.run(1)
     assert one_answer(good, mine).kind == MessageKind.ANSWER
     assert len(platform.node.calls.by_id) == 1 and not platform.node.viewers.bytes_held
@@ -228,7 +228,7 @@
         node.changelog.handle_event(update)
         end = platform.viewer()
         for _ in range(3):
-            call = platform.send_set_up(end, figures="home:0;copies:4;top:0")
+            call = platform.send_set_up(end, placement="home:0;copies:4;top:0")
         platform.run(0.5)
         end.stream.write(encode_release(call, Cause.NORMAL_CLEARING))
         platform.run(0.5)
@@ -254,7 +254,7 @@
     # the periodic check that closes the connections that are used now
     back = platform.now() // CHECK_PERIOD_US * CHECK_PERIOD_US + CHECK_PERIOD_US + SPARE_IDLE_US
     host, end = platform.hosts["a"], platform.viewer()
-    calls = [platform.send_set_up(end, figures="home:0;copies:4;top:0") for _ in range(3)]
+    calls = [platform.send_set_up(end, placement="home:0;copies:4;top:0") for _ in range(3)]
     platform.world.run(back - before_us)
     for call in calls:
         host.end_session(call)
@@ -265,7 +265,7 @@
 def test_a_session_end_on_a_breaking_connection_is_received_on_the_next():
     platform = Platform("a", script=later(0.01))
     host, end = platform.hosts["a"], platform.viewer()
-    calls = [platform.send_set_up(end, figures="home:0;copies:4;top:0") for _ in range(3)]
+    calls = [platform.send_set_up(end, placement="home:0;copies:4;top:0") for _ in range(3)]
     platform.run(0.2)
     assert len(host.open_connections()) == 3
     for call in calls:
@@ -282,6 +282,6 @@
     stuck = platform.send_set_up(end, "paid", ms=1500)
     platform.run(0.02)
     host.script = play
-    quick = platform.send_set_up(end, figures="home:0;copies:4;top:0")
+    quick = platform.send_set_up(end, placement="home:0;copies:4;top:0")
     platform.run(0.02)
     assert one_answer(end, quick).kind == MessageKind.ANSWER and not end.messages_for(stuck)
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -13,8 +13,8 @@
 
 # A set-up may be sent up to the connect timeout of 1 s after its decision, so that load on the machine does
 # not change the result. The budget N is 11.25 set-ups at first, in a window of 3 s.
-FALL, CONNECT, PLAYED = 3_000_000, 1_000_000, 4_500_000
-PACE = {"cold": 20_000_000, "coldFrom": 0.5, "fall": FALL, "overloadFactor": 2.5}
+WINDOW_US, CONNECT_TIMEOUT_US, DURATION_US = 3_000_000, 1_000_000, 4_500_000
+SLOW_START = {"cold": 20_000_000, "coldFrom": 0.5, "fall": WINDOW_US, "overloadFactor": 2.5}
 BUDGET = 2.5 * 60 / 20 * 0.5 * 3
 COUNT = 3
 
@@ -48,8 +48,14 @@
     paths = []
     for me, port in enumerate(ports):
         family = SETTINGS["familyInfo"] | {"kindSlots": [60], "linksKb": 1e9, "rackLinkKb": 1e9}
-        caps = SETTINGS["caps"] | {"connectTimeout": CONNECT}
-        changes = {"me": me, "nInstances": COUNT, "invariants": PACE, "familyInfo": family, "caps": caps}
+        caps = SETTINGS["caps"] | {"connectTimeout": CONNECT_TIMEOUT_US}
+        changes = {
+            "me": me,
+            "nInstances": COUNT,
+            "invariants": SLOW_START,
+            "familyInfo": family,
+            "caps": caps,
+        }
         path = tmp_path / f"{me}.json"
         paths.append(write_config(path, port, known=known, settings=SETTINGS | changes))
     processes = [start_process(path) for path in paths]
@@ -57,7 +63,7 @@
         for process in processes:
             wait_for_event(process, "serving")
         begin, killed = loop.now(), False
-        while (now := loop.now()) < begin + PLAYED:
+        while (now := loop.now()) < begin + DURATION_US:
             for port in ports:
                 number += 1
                 peer = Peer()
@@ -71,7 +77,7 @@
                     process.wait()
                 processes = [start_process(path) for path in paths]
         assert killed
-        most = max(sum(1 for at in sends if first <= at <= first + FALL) for first in sends)
+        most = max(sum(1 for at in sends if first <= at <= first + WINDOW_US) for first in sends)
         assert most <= BUDGET + 2 * BUDGET**0.5 + 2, json.dumps(sends)
     finally:
         for process in processes:
