--- a/mintmast/decide.py
+++ b/mintmast/decide.py
@@ -1,8 +1,10 @@
-"""Every decision of the controller: where a session plays, at which rung, or that it is refused.
+"""Place sessions on media servers, choose their rungs, and refuse requests that do not fit.
 
-Its types, events and actions are in `interface.py`. Outline: tuned values; `_Pipe`, the slot account of a
-link or rack uplink; `Controller`: list of servers, requests and attempts, admission (slot test, price of
-room, holder order), guards, notes, step-down under short delivery. Times are microseconds, rates kB a second.
+The types of events and actions are in `interface.py`. This module holds the tuning constants;
+`_CapacityAccount`, which tracks the use of a server link or a rack uplink; and `Controller`, which handles
+server list updates, requests and attempts, admission control (capacity test, price of capacity, order of
+candidates), limits, load reports, and the step-down of rungs when delivery falls short. Times are in
+microseconds, rates in kB/s.
 """
 
 from __future__ import annotations
@@ -17,52 +19,54 @@
 from mintmast.interface import Effect, ListKind, NoteKind, Outcome, ServerState
 
 SECOND = 1_000_000
-SLOT = SECOND  # µs; a slot of the link account: the design's second, well under a session's length
-# µs; charge of a session with no hint: over the usual length, as ends are told
+SLOT = SECOND  # µs; granularity of the capacity accounts, well under a session's length
+# µs; charge for a session without a length hint: longer than usual, because the end of a session is reported
 DEFAULT_LENGTH = 120 * SECOND
-# part of a link that the slot test may fill: room for rates above the ladder and late notes
+# share of a link that the capacity test may fill; the rest covers rates above the ladder and late reports
 MARK = 0.97
-# part of the room that the price fills where own sessions lie at no server, at all: what is noted of servers
-# without own sessions is thin or old, so less of their room can be counted on
+# share of fleet capacity assumed usable when this gateway has sessions on no server and on every server:
+# reports about servers without own sessions are sparse or old, so less of their capacity can be relied on
 FILL_FEW, FILL_ALL = 0.75, 1.0
-LEAST_USE = 0.1  # noted use that an average takes at the least: a server heard of carries a session
-NO_LIMIT = 1e12  # kB a second; a link or uplink of which nothing is told
-# sizes told beyond this or under its inverse, and uses noted above the other, are taken for broken
+LEAST_USE = 0.1  # minimum use in the harmonic mean: a server with a report carries at least one session
+NO_LIMIT = 1e12  # kB/s; capacity of a link or uplink whose rate is not configured
+# relative sizes above the first value or below its inverse, and reported uses above the second, are invalid
 MAX_SIZE, MAX_USE = 1000.0, 20.0
-# part of a link; room that a holder in the own zone seems to have more, per told price of crossing, and one
-# to which a connection stands, per told price of a new one
+# share of a link that one unit of configured cost is worth in the order of candidates: the cross-zone cost
+# for a holder in the own zone, the handshake cost for one with an open connection
 ZONE_ROOM = 10.0
-# holders looked at: of more, gateways follow the same old notes in step; of fewer, they meet full ones. And
-# how many are drawn to find so many that can be used, before all are looked at
+# Candidates compared for a set-up: with more, gateways move in step on the same old reports; with fewer,
+# they hit full servers. The second value is the size of the random sample tried before all holders.
 CHOICES, DRAWN = 4, 16
-# µs; advice after a refusal: about one session of a server ends in that time
+# µs; retry advice sent with a refusal: a server ends about one session in that time
 RETRY_ADVICE = SECOND
-MIN_LEFT = 60_000  # µs; with less time left no set-up can answer, so none is sent
-# µs; a server with a set-up out for so long may stand still: several usual set-ups
+MIN_LEFT = 60_000  # µs; a set-up cannot be answered in less time, so none is sent
+# µs; a server with a set-up unanswered for this long may hang: several times the usual set-up time
 UNANSWERED = SECOND * 2 // 5
-# µs; a server is passed over so long after a failed set-up, doubled with each in a row up to the second:
-# faults last tens of seconds and must be noticed as over. So long after it said that it is full: one slot
+# µs; a server is ejected for the first value after a failed set-up, doubled with each consecutive failure
+# up to the second: faults last tens of seconds, and recovery must be noticed. The third is the first pause
+# after a FULL reply, one slot.
 SUSPECT, SUSPECT_MAX, FULL_PAUSE = 2 * SECOND, 16 * SECOND, SECOND
-SHED_BELOW = 0.96  # delivered share under which rungs are stepped down: a little short costs less
-SHED_TO = 0.8  # part of what is delivered that rungs kept may ask for: rates vary, set-ups are under way
-SHED_WAIT = 2 * SECOND  # µs beside the age of notes before the same server is judged again
-# µs; in that time a noted use turns into the fleet's average: about a session.s length
+SHED_BELOW = 0.96  # delivered share below which rungs are stepped down; a smaller shortfall costs less
+SHED_TO = 0.8  # share of delivered rate that remaining rungs may use: rates vary, set-ups are under way
+SHED_WAIT = 2 * SECOND  # µs, added to the age of reports, before the same server is stepped down again
+# µs in which the weight of a reported use decays to the fleet's average: about the length of a session
 NOTE_FADES = 30 * SECOND
-SETTLE_WAIT = 6 * SECOND  # µs after a cut before the rung is settled anew: notes show what the cut did
-FULL_LINK = 0.9  # noted use under which a link is not what makes delivery short
-# an uplink's told rate falls by so much of a missing share, as each server notes it; it rises by so much at a
-# link's note while used by that part and for so long (µs) never short; bounds beyond the spread of real racks
+SETTLE_WAIT = 6 * SECOND  # µs after a cut before the rung is reviewed, so that reports show its effect
+FULL_LINK = 0.9  # reported use below which a link is not the cause of short delivery
+# An uplink's estimated rate falls by the first factor times the missing share, for each server that reports
+# one. It rises by the second at a link report while its use is above the third and delivery has not been
+# short for the fourth (µs). The bounds exceed the spread of real racks.
 UPLINK_DOWN, UPLINK_UP, UPLINK_TRIED, UPLINK_WAIT = 0.3, 0.01, 0.85, 5 * SECOND
 UPLINK_LEAST, UPLINK_MOST = 0.6, 1.4
-DEAD_BELOW = 0.1  # delivered share under which a server stands still: smaller rungs would not help
-# µs in which the process of the same name that was told to end may still send, after this one has started
+DEAD_BELOW = 0.1  # delivered share below which a server hangs: smaller rungs would not help
+# µs after this process starts during which its predecessor of the same name may still send set-ups
 OVERLAP = SECOND
-DEMAND_MEMORY = 4 * SECOND  # µs; broken sessions count as demand so long: most viewers are back by then
-SURVEY_AGE = SECOND // 4  # µs; sums over the fleet and the price of room are worked out anew so often
+DEMAND_MEMORY = 4 * SECOND  # µs that a lost session counts as demand: most viewers are back by then
+SURVEY_AGE = SECOND // 4  # µs between updates of the fleet totals and of the price of capacity
 
 
 class _Pipe:
-    """Slot account of a link or an uplink: its noted use, and what this gateway changed since then."""
+    """Estimate the load of a link or an uplink: its reported use plus this gateway's changes since then."""
 
     __slots__ = ("at", "changes", "limit", "short_at", "short_by", "use")
 
@@ -70,17 +74,18 @@
         self.limit = limit
         self.use: float | None = None
         self.at = -1
-        self.short_by = self.short_at = (0, b"")  # last short share and last one it caused: when, at whom
-        self.changes: deque[tuple[int, int, float]] = deque()
+        # (time, server) of the last short delivery, and of the last one attributed to this uplink
+        self.short_by = self.short_at = (0, b"")
+        self.changes: deque[tuple[int, int, float]] = deque()  # (time, last slot, kB/s)
 
     def charge(self, now: int, ends: int, kb: float) -> None:
-        """Put `kb` (negative: take off) into the slots from now to that of `ends`; what is past goes."""
+        """Add `kb` (negative: release) to the slots from now to that of `ends`; drop past charges."""
         while self.changes and self.changes[0][1] < now // SLOT:
             self.changes.popleft()
         self.changes.append((now, ends // SLOT, kb))
 
     def note(self, seen: int, use: float) -> None:
-        """Take a report of the use as it was at `seen`; what was changed before is part of it."""
+        """Record the use measured at `seen`, which includes all charges made until then."""
         if seen < self.at:
             return
         self.use, self.at = use, seen
@@ -88,9 +93,9 @@
             self.changes.popleft()
 
     def changed(self, now: int) -> float:
-        """Give the fullest slot's charges since the note.
+        """Return the charges of the fullest slot since the last report.
 
-        Every charge starts at once and only leaves later, so the fullest slot is the present one.
+        Every charge starts at once and only ends later, so the fullest slot is the present one.
         """
         slot = now // SLOT
         while self.changes and self.changes[0][1] < slot:
@@ -98,27 +103,27 @@
         return sum(kb for _, last, kb in self.changes if last >= slot)
 
     def need(self, now: int, unheard: float) -> float:
-        """Give the rate asked in the fullest slot; `unheard` is the use taken where none was noted.
+        """Return the demand in the fullest slot in kB/s; `unheard` is the use assumed without a report.
 
-        An old note fades towards that: no new one comes where this gateway holds no session any more, and a
-        server once noted as full would stay shut out for good.
+        An old report decays towards that use: no new ones arrive from a server where this gateway has no
+        sessions left, and a server once reported as full would stay excluded for good.
         """
         fresh = self.fresh(now)
         use = fresh * self.use + (1 - fresh) * unheard if fresh else unheard
         return max(0.0, use * self.limit + (self.changed(now) if self.changes else 0.0))
 
     def heard(self, now: int, unheard: float) -> float:
-        """Give the same, but nothing for a use never noted: what this gateway has reason to believe."""
+        """Return the same, with a use of 0 for a link that was never reported: demand backed by reports."""
         return self.need(now, 0.0 if self.use is None else unheard)
 
     def fresh(self, now: int) -> float:
-        """Give the weight of the note: 1 when new, 0 when nobody can say any more."""
+        """Return the weight of the last report, from 1 when new to 0 when expired."""
         return 0.0 if self.use is None else max(0.0, 1 - (now - self.at) / NOTE_FADES)
 
 
 @dataclass(slots=True)
 class _Server:
-    """What this gateway knows of one server."""
+    """The state that this gateway keeps for one server."""
 
     entry: api.ListEntry
     link: _Pipe
@@ -126,14 +131,14 @@
     sessions: dict[int, _Session] = field(default_factory=dict)
     strikes: int = 0
     suspect_until: int = 0
-    fulls: int = 0  # how often it has said that it is full since a session last began there
-    full_until: int = 0  # it has said that it is full, and nothing was seen to end there since
-    warned: int = -1  # last sign that its process died or may have started anew
+    fulls: int = 0  # FULL replies since a session last started there
+    full_until: int = 0  # no set-ups until then after a FULL reply; cleared when an own session ends there
+    warned: int = -1  # last sign that its process died or may have restarted
     up_since: int | None = None  # first set-up answered after that sign
     sent: deque[int] = field(default_factory=deque)
     shed_at: int = -(10**15)
-    gone_at: int | None = None  # when it was first heard that it is gone
-    used: int = -(10**15)  # when it was last sent a set-up or a session ended there
+    gone_at: int | None = None  # when the list first reported it as gone
+    used: int = -(10**15)  # when a set-up was last sent or a session last ended there
 
 
 @dataclass(slots=True)
@@ -141,7 +146,7 @@
     """A request and, once it plays, its session."""
 
     request: int
-    kind: int  # place of its class
+    kind: int  # index of its service class
     service: api.ServiceClass
     title: int
     best: int
@@ -149,7 +154,7 @@
     length: int = 0
     home: int = 0
     copies: int = 0
-    server: bytes | None = None  # where its attempt is out or it plays
+    server: bytes | None = None  # where its attempt is pending or it plays
     rung: int = 0
     kb: float = 0.0
     ends: int = 0
@@ -158,15 +163,15 @@
     may_have_run: bool = False
     playing: bool = False
     noted: bool = False
-    moved: bool = False  # the gateway asks for it, not a viewer
-    over: bool = False  # its final answer is given or no longer owed
+    moved: bool = False  # requested by the gateway, not by a viewer
+    over: bool = False  # its final answer was sent or is no longer needed
     errors: int = 0  # hosts that answered it with an error
-    unsettled: bool = False  # its rung was cut for want of room or not decided here
-    since: int = -(10**15)  # when its rung was last decided
+    unsettled: bool = False  # its rung was lowered for lack of capacity or not chosen here
+    since: int = -(10**15)  # when its rung was last chosen
 
 
 class Controller:
-    """Decides for one gateway; feed it every event in order and carry out the actions it returns."""
+    """Make the decisions of one gateway: pass it every event in order and execute the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         s = self.settings = settings
@@ -180,13 +185,13 @@
         self.taken: deque[int] = deque()
         self.broken: deque[tuple[int, _Session]] = deque()
         self.started = 0
-        self.handed_over = False  # sessions were playing when this gateway started
-        # Sums over the fleet; asked of each uplink, with and without averages for servers unheard:
+        self.handed_over = False  # a predecessor handed over playing sessions when this gateway started
+        # Fleet totals. Each uplink's demand is kept with and without averages for servers without reports.
         self.surveyed = -SURVEY_AGE
         self.mean_use, self.heard, self.room = 0.0, False, 0.0
-        self.held = 1.0  # part of the servers that hold the title asked for last
+        self.held = 1.0  # share of the servers that hold the last requested title
         self.needs, self.known = [0.0] * s.racks, [0.0] * s.racks
-        self.price = (0.0, 1.0)  # worth for a kB of the marginal step, and the part of it that fits
+        self.price = (0.0, 1.0)  # worth per kB of the marginal step, and the share of it that fits
         self.price_at = -SURVEY_AGE
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
@@ -202,7 +207,7 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at time `now` and give the actions that follow from it."""
+        """Handle one event at time `now` and return the resulting actions."""
         self.actions = []
         handler = self.handlers.get(type(event))
         if handler is not None:
@@ -218,7 +223,7 @@
 
     def _list(self, now: int, event: api.ServerList) -> None:
         if event.kind is ListKind.FAILED:
-            # A list service that is down must not be flooded by those who wait for it: ask again later.
+            # Retry after a delay, so that waiting gateways do not flood a list service that is down.
             self.actions.append(api.SetTimer(SECOND, 0))
             return
         new = event.kind is not ListKind.DELTA
@@ -232,7 +237,7 @@
             if server is None:
                 server = self.servers[entry.server] = _Server(entry, _Pipe(1.0))
                 new = True
-            elif entry.started > server.entry.started:  # a new process: what was learned of the old is void
+            elif entry.started > server.entry.started:  # new process: the state of the old one is void
                 server.link.use, server.link.at = None, -1
                 server.strikes = server.suspect_until = 0
             new = new or entry.cell != server.entry.cell
@@ -241,9 +246,9 @@
             self._index()
 
     def _forget(self, now: int) -> bool:
-        """Forget servers gone for so long that nothing known of them counts any more; tell if there were any.
+        """Remove servers that are gone and whose state has expired; return whether any were removed.
 
-        Danger: where new ones always take the place of old ones, what is kept of the old grows for ever.
+        Without this, the state grows without bound where new servers keep replacing old ones.
         """
         for key, server in list(self.servers.items()):
             if server.entry.state is not ServerState.GONE:
@@ -255,7 +260,7 @@
         return len(self.servers) < sum(map(len, self.by_cell.values()))
 
     def _index(self) -> None:
-        """Sort servers by cell and set told rates: by weight where told, else by the streams of a kind."""
+        """Index servers by cell and set link rates: by weight if configured, else by streams of the kind."""
         s = self.settings
         self.by_cell = {}
         ready = [each for each in self.servers.values() if each.entry.state is not ServerState.GONE]
@@ -285,7 +290,7 @@
         self._try(now, session)
 
     def _try(self, now: int, session: _Session) -> None:
-        """Send the session to the best holder that passes, or end it at once."""
+        """Send a set-up to the best holder that admits the session, or end the request."""
         choice = None
         if session.deadline - now >= MIN_LEFT and self._may_attempt(now, session):
             choice = self._admit(now, session)
@@ -295,7 +300,7 @@
         server, rung = choice
         if not session.attempts or rung != session.rung:
             self.actions.append(api.SetRung(session.request, rung))
-        if self.settings.budget and (session.attempts or session.moved):  # a move sends a viewer's once more
+        if self.settings.budget and (session.attempts or session.moved):  # a move repeats a viewer's set-up
             self.resends.append(now)
         if not session.attempts:
             self._seat(session, 1)
@@ -308,13 +313,13 @@
         server.sent.append(now)
         server.used = now
         self._charge(now, server, session, session.kb)
-        timeout = 0  # a paid set-up is not tried again, so it gets all the time there is
+        timeout = 0  # a paid set-up is not retried, so it may use all the time until the deadline
         if session.service.effect is Effect.FREE:
             timeout = min(session.deadline, now + session.service.aim // 2)
         self.actions.append(api.SetUp(session.request, session.server, timeout))
 
     def _end(self, now: int, session: _Session) -> None:
-        """Answer a request that goes nowhere: refused if that is safe, else failed."""
+        """End a request that cannot be placed: refuse it if it never ran, else fail it."""
         session.over = True
         del self.sessions[session.request]
         if session.attempts:
@@ -346,7 +351,7 @@
             session.may_have_run = True
         if event.complete or session.playing or session.over:
             if server is not None and session.playing:
-                server.full_until, server.used = 0, now  # a place is free again
+                server.full_until, server.used = 0, now  # a session slot is free again
             del self.sessions[session.request]
             self._seat(session, -1)
             if session.playing and event.outcome is Outcome.RESET:
@@ -387,14 +392,14 @@
         session = self.sessions.get(event.request)
         if session is None or session.over:
             return
-        session.over = True  # its attempt still runs and holds its seat until its end is told
+        session.over = True  # its attempt still runs and keeps its seat until its end is reported
         if session.server is not None and not session.playing and self.settings.may_cancel:
             self.actions.append(api.Cancel(session.request, session.attempts - 1))
 
     # Admission
 
     def _admit(self, now: int, session: _Session) -> tuple[_Server, int] | None:
-        """Find the highest rung worth its room that passes the slot test at a holder, roomiest first."""
+        """Find a candidate for the highest affordable rung; prefer those with the most free capacity."""
         holders = self._holders(now, session)
         if not holders:
             return None
@@ -416,9 +421,9 @@
             for _, server, room in ordered:
                 if not self.heard or kb <= room:
                     return server, rung
-        # Danger: with most servers unheard, averages made of a handful of notes fill whole racks on paper and
-        # would turn viewers away beside idle servers. They may lower the rung; only what was heard refuses.
-        # May hurt under an overload of which nothing is heard: links then fill with sessions at the floor.
+        # Averages may lower the rung, but only reports may refuse a request. With few reports, averages of a
+        # handful of servers would show whole racks as full and refuse viewers next to idle servers.
+        # Drawback: in an overload without reports, links fill with sessions at the floor rung.
         for _, server, _ in ordered:
             unheard = 0.0 if server.link.use is None else self.mean_use
             room = min(self._rooms(now, server, unheard, self.known))
@@ -427,12 +432,12 @@
         return None
 
     def _rooms(self, now: int, server: _Server, unheard: float, needs: list[float]) -> tuple[float, float]:
-        """Give what the fullest slot leaves up to the mark on the server's link and on its rack's uplink."""
+        """Return the free capacity of the server's link and of its rack's uplink in the fullest slot."""
         link = server.link.limit * self._warmth(now, server) * MARK - server.link.need(now, unheard)
         return link, self.uplinks[server.rack].limit * MARK - needs[server.rack]
 
     def _holders(self, now: int, session: _Session) -> list[_Server]:
-        """Give the holders that can take a set-up, a random few where there are many."""
+        """Return holders that can accept a set-up, a random few if there are many."""
         cells, copies = self.settings.cells, session.copies
         if cells and copies < cells:
             where = [(session.home + step) % cells for step in range(copies)]
@@ -459,29 +464,30 @@
         return found
 
     def _near(self, now: int, server: _Server) -> bool:
-        """Tell whether a connection to the server stands: own sessions play there, or did a moment ago.
+        """Return whether a connection to the server is open: own sessions play there or did recently.
 
-        Danger: in a large fleet each gateway sends few set-ups to each server, so nearly every one opens a
-        connection, which servers have few of and the settings may price. Near ones are looked at first and
-        seem roomier by that price. May hurt where notes are old: a gateway stays with its servers longer.
+        In a large fleet each gateway sends few set-ups to each server, so nearly every set-up opens a new
+        connection; servers have few of them, and the settings may set a cost. Connected servers are tried
+        first and count as having more capacity, by that cost. Drawback: with old reports, a gateway stays
+        with its servers longer.
         """
         if not self.settings.handshake_cost:
             return False
         return bool(server.sessions) or now - server.used < self.settings.line_idle
 
     def _survey(self, now: int) -> None:
-        """Renew the sums over the fleet, once in a short while; own charges are added as they come."""
+        """Recompute the fleet totals if they are old; own charges are added as they are made."""
         if now - self.surveyed < SURVEY_AGE:
             return
         self.surveyed = now
-        # Those that drain count no more: their sessions leave, and their successors count beside them.
+        # Draining servers do not count: their sessions leave, and their replacements are already counted.
         listed = [each for each in self.servers.values() if each.entry.state is ServerState.READY]
         heard = [each.link for each in self.servers.values() if each.link.use is not None]
         self.heard = bool(heard)
-        # Danger: a server is heard of while own sessions play there. Where titles lie on few servers, it is
-        # the busy that are heard: were they drawn in proportion to use, the harmonic mean would be the mean
-        # of all; as the roomier of the holders are chosen, it lies half way. Where all hold all, this
-        # gateway chose whom it hears, and the plain mean holds.
+        # Reports arrive only from servers where own sessions play. If titles are on few servers, these are
+        # mostly busy ones: if servers were sampled in proportion to use, the harmonic mean would estimate
+        # the mean of all; because the least loaded holders are chosen, the estimate lies half way. If every
+        # server holds every title, this gateway chose the servers itself, and the arithmetic mean is right.
         weights = [pipe.fresh(now) + 0.01 for pipe in heard]
         uses = [min(1.0, pipe.use) for pipe in heard]
         total = sum(weights) or 1.0
@@ -491,7 +497,7 @@
         self.mean_use = plain * (1 - part) + part / inverse if heard else 0.0
         racks = len(self.uplinks)
         self.needs, self.known, links = [0.0] * racks, [0.0] * racks, [0.0] * racks
-        for each in listed:  # a link asked for several times its rate still carries no more
+        for each in listed:  # a link never carries more than its rate, whatever the demand
             link = each.link
             self.needs[each.rack] += min(link.need(now, self.mean_use), link.limit)
             self.known[each.rack] += min(link.heard(now, self.mean_use), link.limit)
@@ -504,12 +510,12 @@
         self.room = fill * sum(min(link, pipe.limit) for link, pipe in zip(links, self.uplinks, strict=True))
 
     def _worth_its_room(self, now: int, session: _Session) -> int:
-        """Give the highest rung whose last step is worth its rate at the going price of room.
+        """Return the highest rung whose last step is worth its rate at the current price of capacity.
 
-        Trunk reservation: the room goes to the steps that earn most for a kB. Were all sessions of this
-        gateway set at one price, their rates would fill its part of the fleet's room: that price holds. At
-        light use every step is worth its rate, so sessions go at the viewer's top rung. May hurt when this
-        gateway's sessions are unlike the others'.
+        Trunk reservation: capacity goes to the steps with the most worth per kB. The price is the one at
+        which the rates of all sessions of this gateway would fill its share of the fleet's capacity. At
+        light load every step is worth its rate, so sessions get the viewer's top rung. Drawback: the price
+        is off if this gateway's sessions differ from those of the others.
         """
         if now - self.price_at >= SURVEY_AGE:
             self.price_at = now
@@ -523,12 +529,12 @@
         return rung
 
     def _price(self, now: int, asker: _Session) -> tuple[float, float]:
-        """Give the marginal step's worth for a kB and the part of such steps that still fits."""
+        """Return the worth per kB of the marginal step and the share of such steps that still fits."""
         while self.broken and self.broken[0][0] < now - DEMAND_MEMORY:
             self.broken.popleft()
         mine = [each for each in self.sessions.values() if each.server is not None]
-        # The asker counts at the middle rung: a gateway just started has no session to tell its part by, and
-        # would hand top rungs to all who come to it in the middle of an overload.
+        # The requester counts at the middle rung: a gateway that has just started has no sessions to derive
+        # its share from, and in an overload it would grant the top rung to every request.
         own = sum(each.kb for each in mine)
         if asker.server is None:
             mine.append(asker)
@@ -552,9 +558,9 @@
         return 0.0, 1.0
 
     def _steps(self, session: _Session) -> list[tuple[int, float]]:
-        """Give the class's steps above its floor as (rung, worth gained for a kB), best first.
+        """Return the class's steps above its floor as (rung, worth gained per kB), best first.
 
-        Rungs off the upper hull of worth over rate are left out: the next one earns more for a kB.
+        Rungs below the upper convex hull of worth over rate are skipped: the next one gains more per kB.
         """
         worth, service = self.settings.rung_worth, session.service
         steps: list[tuple[int, float]] = []
@@ -577,7 +583,7 @@
         self.needs[server.rack] += kb
         self.known[server.rack] += kb
 
-    # Guards
+    # Limits on attempts and seats, slow start, outlier ejection
 
     def _seat(self, session: _Session, by: int) -> None:
         if session.service.seats > 0:
@@ -587,7 +593,7 @@
                 del self.seats[key]
 
     def _may_attempt(self, now: int, session: _Session) -> bool:
-        """Tell whether seats, viewer's rungs, the cap on attempts and their budget allow one more."""
+        """Return whether seats, the viewer's rungs, the attempt limit and the retry budget allow one more."""
         s, service = self.settings, session.service
         if session.best < service.floor or session.attempts >= s.max_attempts:
             return False
@@ -601,9 +607,9 @@
         return True
 
     def _warm_from(self, server: _Server, now: int) -> int:
-        """Give the latest time at which the server may have started, as far as this gateway can tell."""
-        # Sessions handed over when this gateway started show that it took over from another as planned, not
-        # after a crash: then its list is as good as its predecessor's, and says itself who is young.
+        """Return the latest time at which the server may have started, as far as this gateway knows."""
+        # Sessions handed over at the start show a planned takeover, not a crash: the list is then as good as
+        # the predecessor's and shows which servers started recently.
         start = server.entry.started if self.handed_over else max(server.entry.started, self.started)
         if server.warned > server.entry.started:
             start = max(start, server.up_since if server.up_since is not None else now)
@@ -617,18 +623,19 @@
         return 1.0 if age >= s.cold else s.cold_from + (1 - s.cold_from) * max(0, age) / s.cold
 
     def _cold_pace(self, now: int, server: _Server) -> bool:
-        """Tell whether a server that may be cold can take one more set-up of this gateway.
-
-        Danger: a returning server looks empty to all gateways at once and falls over under their set-ups.
-        The whole set-ups of a window's budget are dealt out, one after the other, to the gateways in an
-        order that starts elsewhere at each server; each keeps to its part in every window, so all together
-        do. Holds for restarts, successors, unlisted returns after a broken connection and this gateway's
-        own restart. May hurt: a reset that was no restart slows a warm server.
-
-        What left late for want of a connection comes with what is sent a window later: over both times
-        together, parts of the spread are dealt out too that the platform bears in a window (two roots).
-        And this gateway's last life may have sent its part: a server listed as started before this life is
-        left alone until that is past. May hurt: a fleet restarted at once leaves cold servers idle so long.
+        """Return whether slow start allows one more set-up from this gateway to the server.
+
+        A returning server looks empty to all gateways at once and fails under their set-ups. The set-ups of
+        a window's budget are distributed round-robin over the gateways, starting at a different gateway for
+        each server; each gateway keeps to its share in every window, so together they keep the budget. This
+        covers restarts, replacements, unlisted returns after a broken connection and this gateway's own
+        restart. Drawback: a connection reset without a restart slows a warm server.
+
+        A set-up that waits for a connection arrives together with those sent a window later. Over both
+        periods together, the gateways therefore also share the spread that the platform tolerates in a
+        window, twice the square root of the budget. The previous process of this gateway may have used its
+        share: a cold server that started before this process gets no set-ups until that window has passed.
+        Drawback: if the whole fleet restarts at once, cold servers stay idle for that time.
         """
         s = self.settings
         reach, start = s.fall + s.connect_time, server.entry.started
@@ -638,31 +645,31 @@
         if age >= s.cold:
             return True
         if start and now - start < s.cold:
-            overlap = OVERLAP if self.handed_over else 0  # after a crash no other process of its name is left
+            overlap = OVERLAP if self.handed_over else 0  # after a crash there is no previous process left
             if start < self.started + overlap and now - self.started < reach + overlap:
                 return False
-        warmth = self._warm(age - reach)  # as it was when the window began
+        warmth = self._warm(age - reach)  # at the start of the window
         budget = s.fall_multiple * self._streams(server) / s.cold * warmth * s.fall
         last = sum(1 for at in server.sent if at > now - s.fall)
         both = self._part(server, budget + 2 * math.sqrt(budget))
         return last < self._part(server, budget) and len(server.sent) < both
 
     def _part(self, server: _Server, budget: float) -> int:
-        """Give this gateway's part of the whole set-ups in a server's budget."""
+        """Return this gateway's share of the whole set-ups in a server's budget."""
         s = self.settings
         rank = (s.instance - int.from_bytes(server.entry.server)) % s.instances
         return (int(budget) + s.instances - 1 - rank) // s.instances
 
     def _judge(self, now: int, server: _Server, event: api.AttemptEnd) -> None:
-        """Learn of a server's health from how an attempt ended.
+        """Update a server's health from the outcome of an attempt.
 
-        Danger: a server that errs at once or stands still looks empty and draws sessions. After a failure
-        others are tried first, for longer with each in a row; when all holders are suspect they are
-        as good as each other, so a fault seen everywhere shuts out nobody.
+        Outlier ejection: a server that fails at once or hangs looks empty and attracts sessions. After a
+        failure other servers are preferred, for longer with each consecutive failure. If all holders are
+        ejected they compare equal, so a fault that affects every server excludes none.
 
-        One that says full is left out for a while, longer each time, or until an own session ends there.
-        Danger: a fleet without places spends its viewers' time on round trips. Also spares the attempts'
-        budget. May hurt where places free unseen: a viewer is refused who would have fitted.
+        A server that replies FULL gets no set-ups for a while, longer each time, or until an own session ends
+        there: with a full fleet, viewers would otherwise spend their time on round trips, and the retry
+        budget would be used up. Drawback: a viewer may be refused although a slot became free unnoticed.
         """
         if event.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
             server.warned, server.up_since = now, None
@@ -674,11 +681,11 @@
             server.strikes += 1
 
     def _blamed(self, event: api.AttemptEnd, session: _Session | None) -> bool:
-        """Tell whether an error is the request's own, as another server gave it one too.
+        """Return whether an error is caused by the request itself, because a second server returned one too.
 
-        Danger: requests that no server can use are answered with errors by all that they are sent to, and a
-        few such viewers make whole fleets suspect and look like demand. The first server's strike is taken
-        back. May hurt where many servers err at once: of those that one request met, none is left out.
+        Every server answers an invalid request with an error, so a few such requests would eject whole
+        fleets and count as demand. The failure recorded for the first server is withdrawn. Drawback: if many
+        servers fail at once, those that one request was sent to are not ejected.
         """
         if session is None or session.errors < 2 or event.outcome is not Outcome.ERROR:
             return False
@@ -689,15 +696,15 @@
         return True
 
     def _suspect(self, now: int, server: _Server, session: _Session) -> bool:
-        """Tell whether others are to be tried first: after a failure, or while a set-up stays unanswered.
+        """Return whether other servers are preferred: after a failure, or while a set-up is unanswered.
 
-        Paid sessions, lost when a set-up may have run, are not the ones to find out whether it is well again.
+        Paid sessions do not probe a server after a failure: they are lost if a set-up may have run.
         """
         if now < server.suspect_until or (server.strikes and session.service.effect is not Effect.FREE):
             return True
         return any(not e.playing and now - e.since > UNANSWERED for e in server.sessions.values())
 
-    # Notes
+    # Reports
 
     def _note(self, now: int, event: api.Note) -> None:
         session = self.sessions.get(event.request)
@@ -724,7 +731,7 @@
         else:
             uplink.note(seen, event.value)
         if session is not None and (event.kind is NoteKind.UPLINK or "x1" not in self.settings.load_fields):
-            session.noted = True  # its set-up's own notes are told, later ones are late
+            session.noted = True  # the reports made at set-up are recorded; later ones are delayed
 
     def _load(self, now: int, server_id: bytes, load: Iterable[float]) -> None:
         server = self.servers.get(server_id)
@@ -736,7 +743,7 @@
                 pipes[name].note(now - self.settings.note_age, value)
 
     def _set_rung(self, now: int, session: _Session, rung: int) -> None:
-        """Book a change of a session's rung."""
+        """Record a session's new rung and charge the difference in rate."""
         kb = self._rate(session, rung)
         server = self.servers.get(session.server) if session.server is not None else None
         if server is not None:
@@ -744,13 +751,13 @@
         session.rung, session.kb = rung, kb
 
     def _settle(self, now: int, server: _Server) -> None:
-        """Bring sessions cut for want of room, or found playing, to the rung that admission would give now.
+        """Raise sessions with a provisional rung to the rung that admission control would grant now.
 
-        Danger: sessions found playing at the start, and those cut by a trouble that has passed, stay on low
-        rungs while links are idle. Once for each cut, when the server's use is noted, they go through the
-        slot test where they play. All gateways hear the note at once, so each takes the part of the room
-        that its sessions are of the use, worthiest first and the last step by lot.
-        May hurt when many viewers are about to come: their room is taken.
+        Otherwise sessions found playing at the start, and those lowered during a past shortage, stay on low
+        rungs while links are idle. They are tested once for each cut, when their server's use is reported.
+        All gateways get the report at the same time, so each claims the share of the free capacity that its
+        sessions have in the use: sessions with the highest worth first, the last step at random.
+        Drawback: if many viewers are about to arrive, the capacity is already taken.
         """
         waiting = [e for e in server.sessions.values() if e.unsettled and e.playing and not e.over]
         waiting = [e for e in waiting if now - e.since >= SETTLE_WAIT]
@@ -773,23 +780,23 @@
     # Step-down
 
     def _short(self, now: int, server: _Server, share: float) -> None:
-        """Step rungs down where delivery is really short.
+        """Lower rungs at a server whose measured delivery falls short.
 
-        Danger: a link or uplink that gives less than told, or titles far above their rung's rate, starve
-        every session there, and each missing point costs several of worth. Each gateway takes its sessions
-        there down to what is delivered, least worth for a kB first, once, then waits for notes to show it.
-        May hurt when the shortness passes by itself: the steps stay.
+        A link or uplink below its configured rate, or titles far above their rung's rate, starve every
+        session there, and each missing percent costs several of worth. Each gateway lowers its sessions to
+        the delivered rate once, least worth per kB first, then waits for reports of the effect.
+        Drawback: a shortage that passes by itself still lowers the rungs.
         """
         s = self.settings
-        if share < DEAD_BELOW:  # its sessions get nothing: as good as a failed set-up
+        if share < DEAD_BELOW:  # its sessions get no data: equivalent to a failed set-up
             server.strikes, server.suspect_until = max(1, server.strikes), now + SUSPECT
         uplink = self.uplinks[server.rack]
         last, by = uplink.short_by
         uplink.short_by = now, server.entry.server
         others = by != server.entry.server and now - last < SHED_WAIT
         if others and DEAD_BELOW <= share and uplink.use is None and (server.link.use or 1.0) < FULL_LINK:
-            # Danger: uplinks differ from what is told, and where nothing reports them only a share that is
-            # short beside a link with room shows it. May hurt when the link's note is old.
+            # Uplinks differ from their configured rate. Without uplink reports, the only sign is short
+            # delivery on a link with free capacity. Drawback: the link's report may be old.
             uplink.short_at = now, by
             uplink.limit = max(uplink.limit * (1 - UPLINK_DOWN * (1 - share)), s.uplink_kb * UPLINK_LEAST)
         if not DEAD_BELOW <= share < SHED_BELOW or now - server.shed_at < s.note_age + SHED_WAIT:
@@ -808,8 +815,8 @@
         changed: dict[int, _Session] = {}
         for _, _, below, session in steps:
             saved = session.kb - self._rate(session, below)
-            # By lot where a step saves more than is missing: many gateways hold one session each here, and
-            # if all stepped down for a tenth that is missing, half of the link would stay empty.
+            # A step that saves more than the excess is taken at random: if many gateways have one session
+            # each here and all stepped down for a missing tenth, half of the link would stay idle.
             if excess <= 0 or self.random.random() * saved >= excess:
                 break
             excess -= saved
--- a/mintmast/interface.py
+++ b/mintmast/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the controller: plain typed records, no choices.
+"""Settings, events and actions of the controller, as plain typed records.
 
-Times are whole microseconds of one clock that only goes forward; rates are kB a second; `server` is an
-opaque id that is given back unchanged.
+Times are integer microseconds of one monotonic clock; rates are kB/s; `server` is an opaque id that is
+returned unchanged.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class Effect(IntEnum):
-    """What a second set-up of the same session would do."""
+    """The effect of a second set-up of the same session."""
 
     FREE = 0  # may be repeated without harm
-    GUARDED = 1  # a repeat must stay near the first attempt, for a while
-    SINGLE_SHOT = 2  # paid for at set-up: must not be repeated unless it never ran
+    GUARDED = 1  # for a while, a repeat must stay near the first attempt
+    SINGLE_SHOT = 2  # paid at set-up: must not be repeated unless it never ran
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     SERVED = 0
     ERROR = 1
@@ -32,7 +32,7 @@
 
 
 class ServerState(IntEnum):
-    """What the list says of a server."""
+    """The state of a server in the list."""
 
     GONE = 0
     READY = 1
@@ -40,7 +40,7 @@
 
 
 class ListKind(IntEnum):
-    """What a piece of news from the list holds."""
+    """The kind of a server list update."""
 
     DELTA = 0
     FULL = 1
@@ -49,12 +49,12 @@
 
 
 class NoteKind(IntEnum):
-    """What a note on a playing session tells."""
+    """The quantity that a report on a playing session carries."""
 
-    DELIVERED = 1  # share of the rate that is delivered at the server
+    DELIVERED = 1  # delivered rate at the server over the requested rate
     RUNG = 2
-    LINK = 3  # asked of the server's link over what it gives
-    UPLINK = 4  # the same of its rack's uplink
+    LINK = 3  # requested rate of the server's link over its capacity
+    UPLINK = 4  # the same for its rack's uplink
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's share: requests a second over all gateways that keep their full worth."""
+    """A tenant's share: the requests per second, over all gateways, that keep their full worth."""
 
     quota_per_s: float
     share: float
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptBudget:
-    """Further attempts allowed in any `span`: `free` plus `ratio` for each request taken."""
+    """A retry budget: in any `span`, `free` retries plus `ratio` for each request are allowed."""
 
     span: int
     free: float
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """The settings of a gateway, fixed at its start."""
 
     instance: int
     instances: int
@@ -132,12 +132,12 @@
     move_cost: float = 0.0
     handshake_cost: float = 0.0
     line_idle: int = 0
-    connect_time: int = 0  # µs that a set-up may wait for its connection
+    connect_time: int = 0  # µs that a set-up may wait for a connection
 
 
 @dataclass(slots=True, frozen=True)
 class ListEntry:
-    """One server of the list; `started` 0 means long ago."""
+    """One server of the list; a `started` of 0 means long ago."""
 
     server: bytes
     state: ServerState
@@ -150,12 +150,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The gateway has come up; the first event of a controller."""
+    """The gateway has started; the first event of a controller."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """News from the list of servers."""
+    """An update of the server list."""
 
     kind: ListKind
     version: int
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SessionRequest:
-    """A viewer asks for a session; `length_hint` 0 means none."""
+    """A viewer requests a session; a `length_hint` of 0 means none."""
 
     request: int
     service: int
@@ -183,7 +183,7 @@
 class SessionOpen:
     """A session that already plays when the gateway starts.
 
-    `planned` is false where nobody handed it over: this gateway found it after a death.
+    `planned` is false if no predecessor handed it over, but this gateway found it after a crash.
     """
 
     request: int
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Playing:
-    """Set-up is done and the viewer watches."""
+    """The set-up is complete and the viewer is watching."""
 
     request: int
     attempt: int
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """News about a playing session or the server it plays at."""
+    """A report on a playing session or its server."""
 
     request: int
     server: bytes
@@ -218,7 +218,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnd:
-    """An attempt or a playing session is over; `complete` says that nothing more is owed."""
+    """An attempt or a playing session has ended; with `complete` the request needs no answer any more."""
 
     request: int
     attempt: int
@@ -231,21 +231,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewerGone:
-    """Nobody waits for the request any more."""
+    """The viewer has disconnected and no longer waits for an answer to the request."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set by `SetTimer` has run out."""
+    """A timer set by `SetTimer` has fired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """Answer to a health check."""
+    """The result of a health check."""
 
     server: bytes
     outcome: Outcome
@@ -255,7 +255,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Bytes from another gateway."""
+    """A payload from another gateway."""
 
     sender: int
     payload: bytes
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUp:
-    """Ask a server to start the session; the attempt times out at `timeout_at` (0: at the deadline)."""
+    """Send a set-up for the session; the attempt times out at `timeout_at` (0: at the deadline)."""
 
     request: int
     server: bytes
@@ -287,7 +287,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetRung:
-    """Choose the rung of a session."""
+    """Set the rung of a session."""
 
     request: int
     rung: int
@@ -295,7 +295,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """End a request that never ran; the viewer may come again after `retry_after`."""
+    """Refuse a request that never ran; the viewer may retry after `retry_after`."""
 
     request: int
     retry_after: int = 0
@@ -303,14 +303,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """End a request that may have run."""
+    """Fail a request that may have run."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Call off an attempt that has not begun to play."""
+    """Cancel an attempt that is not playing yet."""
 
     request: int
     attempt: int
@@ -318,14 +318,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """Take a playing session off its server; the viewer comes back to this gateway."""
+    """Remove a playing session from its server; the viewer returns to this gateway."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Wake the controller after `delay`."""
+    """Schedule a `TimerFired` event after `delay`."""
 
     delay: int
     token: int
@@ -340,14 +340,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Give back idle connections to a server."""
+    """Close idle connections to a server."""
 
     server: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class TellPeers:
-    """Send bytes to one peer, or to all with `peer` None."""
+    """Send a payload to one peer, or to all if `peer` is None."""
 
     payload: bytes
     peer: int | None = None
@@ -355,19 +355,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Open or close the standing subscription to the list."""
+    """Open or close the subscription to server list updates."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the full list once."""
+    """Fetch the full server list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/mintmast/loop/__init__.py
+++ b/mintmast/loop/__init__.py
@@ -1,4 +1,4 @@
-"""Selector loop, timers and bounded streams; the real network and the one in memory look alike from above."""
+"""Event loop, timers and bounded streams, with one interface for the real network and one in memory."""
 
 from mintmast.loop.base import Close, Handler, Limits, Listener, Loop, Stream, Timer
 
--- a/mintmast/loop/base.py
+++ b/mintmast/loop/base.py
@@ -1,7 +1,7 @@
-"""What a loop, a stream and a timer are, whichever network lies under them.
+"""Interfaces of loop, stream and timer, shared by the real network and the one in memory.
 
-Times are whole microseconds of one clock that only goes forward. All callbacks run on the loop, one at a
-time; a callback may close any stream, its own included.
+Times are integer microseconds of one monotonic clock. All callbacks run on the loop, one at a time; a
+callback may close any stream, including its own.
 """
 
 from __future__ import annotations
@@ -15,131 +15,131 @@
 
 
 class Close(Enum):
-    """Why a stream is over."""
+    """The reason why a stream was closed."""
 
-    EOF = "eof"  # the peer finished and nothing of ours was left to send
-    RESET = "reset"  # the peer or the network broke it
-    REFUSED = "refused"  # never connected: the peer said no
-    UNREACHABLE = "unreachable"  # never connected: nobody said anything, or no path
-    LOCAL = "local"  # closed from this side
-    OVERFLOW = "overflow"  # the peer read too slowly for what was to be sent
-    EXHAUSTED = "exhausted"  # never connected: this process had no descriptor, port or memory left for it
+    EOF = "eof"  # the peer finished and this side had nothing left to send
+    RESET = "reset"  # the peer or the network broke the connection
+    REFUSED = "refused"  # never connected: the peer refused the connection
+    UNREACHABLE = "unreachable"  # never connected: no answer or no route
+    LOCAL = "local"  # closed by this side
+    OVERFLOW = "overflow"  # the peer read too slowly and the send buffer exceeded its limit
+    EXHAUSTED = "exhausted"  # never connected: no descriptor, port or memory left in this process or machine
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Bounds of one stream, in bytes."""
+    """Limits of one stream, in bytes."""
 
-    unsent: int = 1 << 20  # written by us, not yet taken by the network; past it the stream ends
-    resume: int = 1 << 16  # at or under it `drained` is called, after `write` has told of a backlog
-    chunk: int = 1 << 16  # read from the network at once
+    unsent: int = 1 << 20  # send buffer; the stream is closed beyond it
+    resume: int = 1 << 16  # after `write` returned False, `drained` is called at or below this
+    chunk: int = 1 << 16  # maximum of one read
 
 
 DEFAULT = Limits()
 
 
 class Handler:
-    """Callbacks of one stream; the default does nothing."""
+    """Callbacks of one stream; the defaults do nothing."""
 
     def opened(self, stream: Stream) -> None:
-        """Take note that the stream is connected."""
+        """Handle the completed connection."""
 
     def received(self, data: bytes) -> None:
-        """Take bytes from the peer."""
+        """Handle bytes from the peer."""
 
     def finished(self) -> None:
-        """Take note that the peer sends nothing more; the default closes the stream."""
+        """Handle the peer's end of stream; the stream closes afterwards unless it is closing already."""
 
     def drained(self) -> None:
-        """Go on writing: the backlog has shrunk."""
+        """Continue writing: the backlog has shrunk."""
 
     def closed(self, reason: Close) -> None:
-        """Take note that the stream is over; called once, and nothing is called after it."""
+        """Handle the end of the stream; called once, and no callback follows."""
 
 
 class Stream(Protocol):
-    """A connection. `handed_over` counts the bytes that this side has given to the network."""
+    """A connection. `handed_over` counts the bytes that were passed to the network."""
 
     handed_over: int
     peer: tuple[str, int]
 
     def write(self, data: bytes) -> bool:
-        """Queue bytes; False where a backlog stands and the caller had better wait for `drained`."""
+        """Queue bytes; return False if there is a backlog and the caller should wait for `drained`."""
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading until `resume`."""
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
 
     def unread(self) -> bool:
-        """Tell whether bytes of the peer, or its end of stream, wait to be read."""
+        """Return whether bytes from the peer, or its end of stream, have not been read yet."""
 
     def close(self) -> None:
-        """Send what is queued, then close."""
+        """Close after sending all queued bytes."""
 
     def finish(self) -> None:
-        """Send what is queued and an end of stream, read no more, and close once the peer has closed.
+        """Send all queued bytes and an end of stream, discard input, and close once the peer has closed.
 
-        Danger: a socket closed with bytes unread, or to which bytes still come, answers with a reset, and
-        what lies at the peer unread is lost with it, the last answers too.
+        A socket that is closed with unread bytes, or that receives bytes afterwards, sends a reset, and the
+        peer loses whatever it has not read yet, including the last answers.
         """
 
     def abort(self) -> None:
-        """Close at once, dropping what is queued."""
+        """Close at once and drop all queued bytes."""
 
 
 class Listener(Protocol):
-    """A listening address; `port` is the real one where 0 was asked."""
+    """A listening address; `port` is the assigned one if 0 was requested."""
 
     port: int
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
 
     def finish(self) -> None:
-        """Accept what has come so far, then no more: closing alone resets what waits to be accepted."""
+        """Accept all waiting connections, then stop: `close` alone would reset those in the backlog."""
 
 
 class Datagrams(Protocol):
-    """A port for datagrams, which may be lost, doubled, late and out of order."""
+    """A datagram socket; datagrams may be lost, duplicated, delayed and reordered."""
 
     def send(self, data: bytes, to: tuple[str, int]) -> None:
-        """Send one; nothing is told of its fate."""
+        """Send a datagram; failures are not reported."""
 
     def close(self) -> None:
-        """Send and take no more."""
+        """Stop sending and receiving."""
 
 
 class Loop(Protocol):
-    """Clock, timers and network as handed to every part."""
+    """The clock, timers and network that every component uses."""
 
     def now(self) -> int:
-        """Give the microseconds of the clock."""
+        """Return the time of the monotonic clock in microseconds."""
 
     def wall(self) -> float:
-        """Give the seconds since 1970 as this machine believes them."""
+        """Return this machine's wall clock in seconds since 1970."""
 
     def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when`, or in the next turn where that is past."""
+        """Call `do(*args)` at `when`, or in the next iteration if that is past."""
 
     def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` in the next turn."""
+        """Call `do(*args)` in the next iteration of the loop."""
 
     def listen(
         self, host: str, port: int, accept: Callable[[], Handler], backlog: int = 512, limits: Limits = ...
     ) -> Listener:
-        """Accept connections; `accept` makes the handler of each. Raises OSError."""
+        """Accept connections; `accept` returns the handler for each. Raises OSError."""
 
     def connect(self, host: str, port: int, handler: Handler, limits: Limits = ...) -> Stream:
-        """Begin to connect; `handler` hears `opened` or `closed`, never before this returns."""
+        """Start connecting; `opened` or `closed` of `handler` is called, never before this returns."""
 
     def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> Datagrams:
-        """Take and send datagrams at an address; `take` hears each with its sender. Raises OSError."""
+        """Open a datagram socket; `take` is called with each datagram and its sender. Raises OSError."""
 
 
 class Timer:
-    """A call to come; `cancel` may be called at any time."""
+    """A scheduled callback; `cancel` may be called at any time."""
 
     __slots__ = ("args", "do", "when")
 
@@ -149,12 +149,12 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Call it off."""
+        """Cancel the callback."""
         self.do, self.args = None, ()
 
 
 class Timers:
-    """Timers in order of their time, those of equal time in the order in which they were set."""
+    """Timers in order of their time; those of equal time in the order in which they were added."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []
@@ -162,18 +162,18 @@
         self._dead = 0
 
     def add(self, when: int, do: Callable[..., Any], args: tuple[Any, ...]) -> Timer:
-        """Set one."""
+        """Add a timer."""
         timer = Timer(when, do, args)
         heapq.heappush(self._heap, (when, next(self._count), timer))
         return timer
 
     def next(self) -> int | None:
-        """Give the time of the first that is still wanted."""
+        """Return the time of the first timer that is not cancelled."""
         while self._heap and self._heap[0][2].do is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def pop(self, now: int) -> Timer | None:
-        """Take out the first that is due."""
+        """Remove and return the first timer that has expired."""
         when = self.next()
         return heapq.heappop(self._heap)[2] if when is not None and when <= now else None
--- a/mintmast/loop/memory.py
+++ b/mintmast/loop/memory.py
@@ -1,7 +1,7 @@
-"""A network in memory with a virtual clock: the same seed gives the same run, and nothing ever waits.
+"""A simulated network with a virtual clock: runs are reproducible from the seed and take no real time.
 
-Every machine of the world is a `Node`, which is a `Loop` of its own; the `World` holds the one clock. Bytes
-take a drawn time between nodes and keep their order; a node may be killed, paths may be slowed or cut.
+Every machine is a `Node`, which is a `Loop` of its own; the `World` holds the clock. Bytes are delivered in
+order after a random delay; nodes may be killed, and paths may be delayed or cut.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from mintmast.loop.base import DEFAULT, Close, Handler, Limits, Timer, Timers
 
-EPOCH = 1_800_000_000  # s; the wall clock of every world at its start
-CONNECT_LOST = 3_000_000  # µs; a connection into a cut path is given up by the network after this
+EPOCH = 1_800_000_000  # s since 1970; the wall clock of every world at virtual time 0
+CONNECT_LOST = 3_000_000  # µs until a connection attempt over a cut path fails
 
 
 @dataclass(slots=True)
 class Way:
-    """What befalls what goes one way between two machines; parts are of all datagrams, or of all writes.
+    """Faults of one direction between two machines; rates are shares of all datagrams or of all writes.
 
-    `cut`: nothing comes, TCP tries on. `swallows`: TCP connections open and stay open, and nothing comes.
-    `late` in µs. `short`: a write comes by half, then the connection breaks.
+    `cut`: nothing arrives and TCP retransmits. `swallows`: TCP connections open and stay open, but no data
+    arrives. `late`: additional delay in µs. `short`: half of a write arrives, then the connection breaks.
     """
 
     cut: bool = False
@@ -35,7 +35,7 @@
 
     @property
     def talks(self) -> bool:
-        """Tell whether most of what is sent comes."""
+        """Return whether most of the traffic arrives."""
         return not (self.cut or self.swallows) and self.lost < 0.5 and self.short < 0.5
 
 
@@ -43,7 +43,7 @@
 
 
 class World:
-    """All nodes, one clock, one seed. `latency` is the range of one way between nodes in microseconds."""
+    """All nodes, with one clock and one seed. `latency` is the range of the one-way delay in µs."""
 
     def __init__(self, seed: int, latency: tuple[int, int] = (100, 900)) -> None:
         self.random = random.Random(seed)
@@ -51,23 +51,23 @@
         self.time = 1_000_000
         self.nodes: dict[str, Node] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self.slow: dict[tuple[str, str], int] = {}  # µs more, one way
-        self.lost = self.doubled = 0.0  # parts of all datagrams
+        self.slow: dict[tuple[str, str], int] = {}  # additional one-way delay in µs
+        self.lost = self.doubled = 0.0  # shares of all datagrams
         self.ways: dict[tuple[str, str], Way] = {}
         self._timers = Timers()
 
     def node(self, name: str) -> Node:
-        """Make the machine `name`, or make it anew after `kill`."""
+        """Create the machine `name`, or create it again after `kill`."""
         old = self.nodes.get(name)
         node = self.nodes[name] = Node(self, name, old.skew if old else 0.0)
         return node
 
     def at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call at a time of the world, whichever nodes live then."""
+        """Call at a time of the virtual clock, whether or not any node is alive then."""
         return self._timers.add(max(when, self.time), do, args)
 
     def run(self, until: int) -> None:
-        """Let the world go on to the time `until`."""
+        """Run all callbacks up to the time `until`."""
         while (due := self._timers.next()) is not None and due <= until:
             timer = self._timers.pop(due)
             if timer is not None and timer.do is not None:
@@ -76,14 +76,14 @@
         self.time = max(self.time, until)
 
     def delay(self, source: str, target: str) -> int | None:
-        """Draw the time of one way; None where the path is cut."""
+        """Draw the delay of one transmission in µs; return None if the path is cut."""
         way = self.way(source, target)
         if (source, target) in self.cuts or way.cut:
             return None
         return self.random.randint(*self.latency) + self.slow.get((source, target), 0) + way.late
 
     def way(self, source: str, target: str) -> Way:
-        """Give what befalls what goes from one node to another."""
+        """Return the faults of the direction from one node to another."""
         return self.ways.get((source, target), PLAIN)
 
     def break_all(self, one: str, other: str) -> None:
@@ -96,7 +96,7 @@
 
 
 class Node:
-    """A machine of the world: its timers, listeners and streams die with it."""
+    """A machine; its timers, listeners and streams end when it is killed."""
 
     def __init__(self, world: World, name: str, skew: float) -> None:
         self.world, self.name, self.skew = world, name, skew
@@ -109,21 +109,21 @@
         self.longest_turn = self.turns = 0
 
     def now(self) -> int:
-        """Give the microseconds of the world's clock."""
+        """Return the virtual time in microseconds."""
         return self.world.time
 
     def wall(self) -> float:
-        """Give the seconds since 1970, with this node's skew."""
+        """Return the wall clock in seconds since 1970, including this node's skew."""
         return EPOCH + self.world.time / 1e6 + self.skew
 
     def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when` if the node still lives."""
+        """Call `do(*args)` at `when` if the node is still alive."""
         timer = Timer(when, do, args)
         self.world.at(when, self._fire, timer)
         return timer
 
     def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` after what is going on."""
+        """Call `do(*args)` after the current callback."""
         return self.call_at(self.world.time, do, *args)
 
     def _fire(self, timer: Timer) -> None:
@@ -131,7 +131,7 @@
             self.do(timer.do, *timer.args)
 
     def do(self, what: Callable[..., Any], *args: Any) -> None:
-        """Run a callback of this node: now, after a stand-still, or never if it is dead."""
+        """Run a callback of this node now, defer it while the node is frozen, or drop it after `kill`."""
         if not self.alive:
             return
         if self.frozen is not None:
@@ -140,18 +140,18 @@
         what(*args)
 
     def freeze(self) -> None:
-        """Stand still: what comes waits."""
+        """Suspend the node; callbacks are deferred."""
         if self.frozen is None:
             self.frozen = []
 
     def thaw(self) -> None:
-        """Go on, with all that came meanwhile at once."""
+        """Resume the node and run all deferred callbacks at once."""
         waiting, self.frozen = self.frozen or [], None
         for what, args in waiting:
             self.do(what, *args)
 
     def kill(self) -> None:
-        """Die without warning: peers see their connections break."""
+        """Stop without warning; the peers' connections are reset."""
         self.alive = False
         for end in list(self._streams):
             end.break_off()
@@ -167,16 +167,16 @@
         backlog: int = 512,
         limits: Limits = DEFAULT,
     ) -> _Listener:
-        """Accept connections; the host name is the node's."""
+        """Accept connections; the host is always this node."""
         self._port += 1
         port = port or self._port
         if port in self._listeners:
-            raise OSError(f"port {port} of {self.name} is taken")
+            raise OSError(f"port {port} of {self.name} is already in use")
         listener = self._listeners[port] = _Listener(self, port, accept, limits)
         return listener
 
     def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> _End:
-        """Begin to connect to the node `host`."""
+        """Start connecting to the node `host`."""
         ours = _End(self, handler, limits, (host, port))
         self._streams[ours] = None
         there = self.world.delay(self.name, host)
@@ -188,9 +188,9 @@
         return ours
 
     def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> _Port:
-        """Take and send datagrams; the host name is the node's."""
+        """Open a datagram socket; the host is always this node."""
         if port in self._ports:
-            raise OSError(f"datagram port {port} of {self.name} is taken")
+            raise OSError(f"datagram port {port} of {self.name} is already in use")
         bound = self._ports[port] = _Port(self, port, take)
         return bound
 
@@ -219,7 +219,7 @@
 
 
 class _Port:
-    """A port for datagrams."""
+    """A datagram socket of a node."""
 
     def __init__(self, node: Node, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> None:
         self.node, self.port, self._take = node, port, take
@@ -256,8 +256,8 @@
         self._closing = self._paused = self._backlog = False
         self._early: list[bytes] = []
         self._inbox: deque[bytes | Close] = deque()
-        self._in_flight = 0  # bytes on the way to the other side or unread there
-        self._last = 0  # arrival of the last thing sent: order is kept
+        self._in_flight = 0  # bytes in transit to the other side or unread there
+        self._last = 0  # arrival time of the last transmission; later ones do not overtake it
 
     def open(self) -> None:
         if self.done:
@@ -303,7 +303,7 @@
             world.at(self._last, other.node.do, other.over, Close.RESET)
             self.node.call_soon(self.over, Close.RESET)
             return
-        if delay is None:  # cut: TCP tries on, nothing arrives until the path is back
+        if delay is None:  # cut path: retransmit like TCP until the path is restored
             world.at(world.time + 50_000, self._send, what)
             return
         self._last = max(self._last, world.time + delay)
--- a/mintmast/loop/real.py
+++ b/mintmast/loop/real.py
@@ -1,4 +1,4 @@
-"""The loop on `selectors` and real sockets."""
+"""Event loop on `selectors` and real sockets."""
 
 from __future__ import annotations
 
@@ -17,20 +17,19 @@
 from mintmast.loop.sockets import SocketListener, SocketPort, SocketStream, reason_of
 
 _IN_PROGRESS = {errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EAGAIN}
-# allocations between looks for garbage in rings: the youngest generation, then how many of each before the
-# next. The loop's objects are freed by their counts; a full look over a gateway's heap stops the loop for 50
-# to 100 ms
+# Thresholds of the cyclic garbage collector, as for `gc.set_threshold`. Reference counting frees the loop's
+# objects, and a full collection of a gateway's heap stops the loop for 50 to 100 ms.
 GARBAGE = (20_000, 20, 1000)
 
-# µs that a turn may take, or a wait longer than it was to; beyond, this process stood still
+# µs; a longer iteration, or a wait that overruns by more, counts as a stall of this process
 STILL = 250_000
 
 
 def settle_memory() -> None:
-    """Take what the program is made of out of the garbage collector's sight, and let it look seldom.
+    """Exclude all present objects from garbage collection and make collections rare.
 
-    Danger: full collections stop the loop for all. May hurt where a library makes rings in quantity: memory
-    grows until the next look.
+    Full collections stop the loop for all connections. Drawback: if a library creates many reference
+    cycles, memory grows until the next collection.
     """
     gc.collect()
     gc.freeze()
@@ -38,10 +37,10 @@
 
 
 class SelectorLoop:
-    """One thread, one selector; `run` ends after `stop`.
+    """A loop with one thread and one selector; `run` ends after `stop`.
 
-    `on_error` hears the text of an exception that a callback let out: the stream it came from is aborted and
-    the loop goes on, so that one bad peer cannot end the program.
+    `on_error` is called with the traceback of an exception raised by a callback; the stream that raised it
+    is aborted and the loop continues, so that one faulty peer cannot end the program.
     """
 
     def __init__(self, on_error: Callable[[str], None] | None = None) -> None:
@@ -52,17 +51,17 @@
         self.longest_turn = 0  # µs
         self.turns = 0
         self.on_turn: Callable[[int], None] | None = None
-        # hears how long a turn took, or by how much a wait was too long, where that is over `STILL` (µs)
+        # called with the duration of an iteration, or the overrun of a wait, that exceeds `STILL` (µs)
         self.on_still: Callable[[int], None] | None = None
         self._wakeup: tuple[int, int] | None = None
-        self.wall_shift = 0.0  # s; for tests of a machine whose clock is wrong
+        self.wall_shift = 0.0  # s; for tests of machines with a wrong clock
 
     def now(self) -> int:
-        """Give the microseconds of the monotonic clock."""
+        """Return the time of the monotonic clock in microseconds."""
         return time.monotonic_ns() // 1000
 
     def wall(self) -> float:
-        """Give the seconds since 1970."""
+        """Return the wall clock in seconds since 1970."""
         return time.time() + self.wall_shift
 
     def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
@@ -70,7 +69,7 @@
         return self._timers.add(when, do, args)
 
     def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` in the next turn."""
+        """Call `do(*args)` in the next iteration."""
         return self._timers.add(0, do, args)
 
     def listen(
@@ -85,7 +84,7 @@
         return SocketListener(self, host, port, accept, backlog, limits)
 
     def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> SocketStream:
-        """Begin to connect."""
+        """Start connecting."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = None
         try:
@@ -102,7 +101,7 @@
         return stream
 
     def adopt(self, sock: socket.socket, handler: Handler, limits: Limits = DEFAULT) -> SocketStream:
-        """Take over a connected socket, as one of a pair; `handler` hears `opened` in the next turn."""
+        """Adopt a connected socket, such as one of a pair; `opened` is called in the next iteration."""
         sock.setblocking(False)
         stream = SocketStream(self, sock, handler, limits, ("", 0), connecting=False)
         stream.watch()
@@ -110,15 +109,15 @@
         return stream
 
     def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> SocketPort:
-        """Take and send datagrams at an address. Raises OSError."""
+        """Open a datagram socket on an address. Raises OSError."""
         return SocketPort(self, host, port, take)
 
     def stop(self) -> None:
-        """End `run` after this turn."""
+        """End `run` after this iteration."""
         self._stopping = True
 
     def on_signal(self, do: Callable[[], Any], *signals: signal.Signals) -> None:
-        """Call `do` in the loop's next turn when one of these signals comes."""
+        """Call `do` in the loop's next iteration when one of these signals arrives."""
         if self._wakeup is None:
             ours, theirs = self._wakeup = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
             signal.set_wakeup_fd(theirs)
@@ -127,13 +126,13 @@
             signal.signal(each, lambda *_: self.call_soon(do))
 
     def run(self, until: int | None = None) -> None:
-        """Turn until `stop`, or until the clock reads `until`."""
+        """Run iterations until `stop`, or until the clock reads `until`."""
         self._stopping = False
         while not self._stopping and (until is None or self.now() < until):
             self.turn(until)
 
     def turn(self, until: int | None = None) -> None:
-        """Wait for the next thing to do, and do all that is ready."""
+        """Run one iteration: wait for the next event or timer and run all callbacks that are ready."""
         due = self._timers.next()
         if until is not None:
             due = until if due is None else min(due, until)
@@ -156,7 +155,7 @@
             self.on_still(max(late, took))
 
     def guard(self, do: Callable[..., Any], *args: Any) -> None:
-        """Call, and turn an exception into a line."""
+        """Run a callback and report any exception to `on_error`."""
         try:
             do(*args)
         except Exception:  # noqa: BLE001 - the loop must outlive any callback
@@ -166,5 +165,5 @@
                 owner.abort()
 
     def close(self) -> None:
-        """Give back the selector."""
+        """Close the selector."""
         self._selector.close()
--- a/mintmast/loop/sockets.py
+++ b/mintmast/loop/sockets.py
@@ -1,4 +1,4 @@
-"""Real sockets on the selector loop: listeners, streams and ports for datagrams."""
+"""Listeners, streams and datagram sockets of the selector loop."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 if TYPE_CHECKING:
     from mintmast.loop.real import SelectorLoop
 
-# what a call fails with when this process or machine has no descriptor, local port or memory left
+# errors of a process or machine that has no descriptor, local port or memory left
 _EXHAUSTED = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
-# µs that a listener rests after such a failure: the selector tells of the same connection at once, for ever
+# µs until a listener accepts again after such an error: the selector would report the same connection
+# without end
 _ACCEPT_AGAIN = 50_000
-# accepts of one listener in one turn: enough to empty a burst soon, few enough to let others run
+# accepts of one listener per iteration: enough to handle a burst soon, few enough to let others run
 _ACCEPTS = 64
-# datagrams of one port in one turn, and bytes of one at the most: longer ones are cut and then not understood
+# datagrams of one socket per iteration, and maximum bytes of one: longer ones are truncated and then rejected
 _DATAGRAMS, _DATAGRAM = 64, 2048
 
 
 def reason_of(code: int) -> Close:
-    """Tell what the error of a connection that did not come up means."""
+    """Return the reason for the error code of a failed connection attempt."""
     if code in _EXHAUSTED:
         return Close.EXHAUSTED
     return Close.REFUSED if code == errno.ECONNREFUSED else Close.UNREACHABLE
@@ -65,10 +66,10 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in _EXHAUSTED:  # the rest waits in the backlog
+                if error.errno in _EXHAUSTED:  # the remaining connections wait in the backlog
                     self._rest()
                     return
-                continue  # a connection that broke before it was accepted
+                continue  # the connection broke before it was accepted
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             handler = self._accept()
@@ -88,13 +89,13 @@
             self._loop._selector.register(self._sock, selectors.EVENT_READ, self._ready)
 
     def finish(self) -> None:
-        """Accept what has come so far, then no more."""
+        """Accept all waiting connections, then stop."""
         for _ in range(self._backlog // _ACCEPTS + 1):
             self._ready(selectors.EVENT_READ)
         self.close()
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         if self._sock.fileno() >= 0:
             if not self._resting:
                 self._loop._selector.unregister(self._sock)
@@ -102,7 +103,7 @@
 
 
 class SocketPort:
-    """A port for datagrams."""
+    """A datagram socket."""
 
     def __init__(
         self, loop: SelectorLoop, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
@@ -123,7 +124,7 @@
         """Send a datagram."""
         try:
             self._sock.sendto(data, to)
-        except OSError:  # full, or nobody there: the same as lost
+        except OSError:  # buffer full or port unreachable: same as a lost datagram
             pass
 
     def _ready(self, mask: int) -> None:
@@ -132,12 +133,12 @@
                 data, peer = self._sock.recvfrom(_DATAGRAM)
             except BlockingIOError:
                 return
-            except OSError:  # told of an earlier one that found nobody; the next may be good
+            except OSError:  # error of an earlier datagram that could not be delivered; try the next
                 continue
             self._loop.guard(self._take, data, peer[:2])
 
     def close(self) -> None:
-        """Send and take no more."""
+        """Stop sending and receiving."""
         if self._sock.fileno() >= 0:
             self._loop._selector.unregister(self._sock)
             self._sock.close()
@@ -149,7 +150,7 @@
     def __init__(
         self,
         loop: SelectorLoop,
-        sock: socket.socket | None,  # None: there was no descriptor for it
+        sock: socket.socket | None,  # None: no descriptor was available
         handler: Handler,
         limits: Limits,
         peer: tuple[str, int],
@@ -165,7 +166,7 @@
         self._mask = 0
 
     def watch(self) -> None:
-        """Ask the selector for what is of use now."""
+        """Register the events that the stream needs now with the selector."""
         if self._over or self._sock is None:
             return
         mask = 0 if self._paused or self._connecting else selectors.EVENT_READ
@@ -181,7 +182,7 @@
             self._mask = mask
 
     def write(self, data: bytes) -> bool:
-        """Queue bytes; False where a backlog stands."""
+        """Queue bytes; return False if there is a backlog."""
         if self._over or self._closing or not data:
             return not self._backlog
         if not self._out and not self._connecting:
@@ -210,23 +211,23 @@
         return sent
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading until `resume`."""
         self._paused = True
         self.watch()
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
         self._paused = False
         self.watch()
 
     def close(self) -> None:
-        """Send what is queued, then close."""
+        """Close after sending all queued bytes."""
         self._closing = True
         if not self._out and not self._connecting:
             self._loop.call_soon(self.end, Close.LOCAL)
 
     def unread(self) -> bool:
-        """Tell whether bytes of the peer, or its end of stream, wait to be read."""
+        """Return whether bytes from the peer, or its end of stream, have not been read yet."""
         if self._over or self._connecting:
             return False
         try:
@@ -238,7 +239,7 @@
         return True
 
     def finish(self) -> None:
-        """Send what is queued and an end of stream, then wait for that of the peer."""
+        """Send all queued bytes and an end of stream, then wait for the peer's end of stream."""
         if self._over:
             return
         self._closing = self._finishing = True
@@ -258,14 +259,14 @@
         self.end(Close.LOCAL)
 
     def end(self, reason: Close) -> None:
-        """Close, once, and say why."""
+        """Close the stream and report the reason to the handler, once."""
         if self._over:
             return
         self._over = True
         if self._mask:
             self._loop._selector.unregister(self._sock)
         if reason is not Close.EOF and self._unsent and self._sock is not None:
-            try:  # what is queued is dropped: say so to the peer by a reset
+            try:  # queued bytes are dropped: signal this to the peer by a reset
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             except OSError:
                 pass
--- a/mintmast/simhost.py
+++ b/mintmast/simhost.py
@@ -1,4 +1,4 @@
-"""Adapter to the simulator's pipe: batches in on standard input, replies out on standard output."""
+"""Adapter to the simulator: read batches from standard input and write replies to standard output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
-    """Read exactly `size` bytes, or fewer at the end of input."""
+    """Read exactly `size` bytes, or fewer at the end of the input."""
     parts = []
     while size > 0:
         part = source.read(size)
@@ -23,19 +23,19 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch with one reply until input ends."""
+    """Answer each batch with one reply until the input ends."""
     decoder = wire.Decoder()
     controllers: dict[int, Controller] = {}
     header_size = wire.BATCH_HEADER.size
     while header := _read(source, header_size):
         if len(header) < header_size:
-            raise wire.WireError("input ends within a frame header")
+            raise wire.WireError("input ended within a frame header")
         length, now = wire.BATCH_HEADER.unpack(header)
         if length < header_size:
-            raise wire.WireError(f"a frame claims {length} bytes, less than its header")
+            raise wire.WireError(f"frame length {length} is less than the frame header")
         body = _read(source, length - header_size)
         if len(body) < length - header_size:
-            raise wire.WireError("input ends within a frame")
+            raise wire.WireError("input ended within a frame")
         records: list[bytes] = []
         for instance, event in decoder.events(body):
             if isinstance(event, wire.Teardown):
@@ -52,7 +52,7 @@
             if isinstance(event, SessionRequest | SessionOpen):
                 if event.service >= len(controller.settings.classes):
                     raise wire.WireError(
-                        f"request {event.request} is of class {event.service}, not in the settings"
+                        f"request {event.request} names class {event.service}, which the settings do not have"
                     )
             for action in controller.handle(now, event):
                 records.append(wire.encode_action(instance, action))
@@ -61,7 +61,7 @@
 
 
 def main() -> int:
-    """Run the adapter; tell of bad input in one line."""
+    """Run the adapter; report invalid input in one line on standard error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/mintmast/wire.py
+++ b/mintmast/wire.py
@@ -1,4 +1,7 @@
-"""The binary wire: frames to events, actions to frames. Names of the wire's dialect stop here."""
+"""Decode frames of the simulator's binary protocol to events and encode actions to frames.
+
+The protocol's names of records and settings are used in this module only.
+"""
 
 from __future__ import annotations
 
@@ -48,31 +51,31 @@
 
 
 class WireError(Exception):
-    """The input breaks the wire's format or the settings lack what is needed."""
+    """The input violates the protocol or the settings are incomplete."""
 
 
 class Spawn:
-    """A gateway comes up with these settings."""
+    """A gateway starts with these settings."""
 
     __slots__ = ("seed", "settings")
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
-        """Keep the seed and the parsed settings."""
+        """Store the seed and the parsed settings."""
         self.seed = seed
         self.settings = settings
 
 
 class Teardown:
-    """A gateway dies without warning."""
+    """A gateway stops without warning."""
 
     __slots__ = ()
 
 
 class Decoder:
-    """Decodes batches; remembers the numbered lists that `ledger` records fill."""
+    """Decode batches of records and store the numbered server lists from `ledger` records."""
 
     def __init__(self) -> None:
-        """Start with no lists."""
+        """Start without lists."""
         self._ledgers: dict[int, tuple[api.ListEntry, ...]] = {}
 
     def events(self, body: bytes) -> Iterator[tuple[int, Any]]:
@@ -86,7 +89,7 @@
                     raise WireError(f"unknown event code {code}")
                 instance, event, at = reader(self, body, at + 2)
                 if at > end:
-                    raise WireError(f"event {code} runs past the end of its frame")
+                    raise WireError(f"event {code} exceeds the end of its frame")
                 if instance is not None:
                     yield instance, event
         except (struct.error, ValueError, OverflowError) as error:
@@ -97,7 +100,7 @@
         at += _ROWS.size
         end = at + n * _ROW.size
         if end > len(body):
-            raise WireError("a list runs past the end of its frame")
+            raise WireError("server list exceeds the end of its frame")
         self._ledgers[bank] = tuple(
             api.ListEntry(server, api.ServerState(mode), started, cell, zone, kind, weight)
             for started, cell, zone, kind, weight, server, mode in _ROW.iter_unpack(body[at:end])
@@ -110,7 +113,7 @@
         entries: tuple[api.ListEntry, ...] = ()
         if kind is not api.ListKind.FAILED:
             if bank not in self._ledgers:
-                raise WireError(f"list number {bank} was never sent")
+                raise WireError(f"server list {bank} was never sent")
             entries = self._ledgers[bank]
         return instance, api.ServerList(kind, version, entries), at + _MEMBERS.size
 
@@ -118,7 +121,7 @@
         instance, seed, n = _SPAWN.unpack_from(body, at)
         at += _SPAWN.size
         if at + n > len(body):
-            raise WireError("settings run past the end of their frame")
+            raise WireError("settings exceed the end of their frame")
         return instance, Spawn(seed, parse_settings(body[at : at + n])), at + n
 
     def _teardown(self, body: bytes, at: int) -> tuple[int, Teardown, int]:
@@ -170,7 +173,7 @@
 
     def _interim(self, body: bytes, at: int) -> tuple[int, api.Note | None, int]:
         instance, ref, _attempt, server, kind, value = _INTERIM.unpack_from(body, at)
-        known = kind in api.NoteKind._value2member_map_  # notes of a later kind are passed over
+        known = kind in api.NoteKind._value2member_map_  # kinds added by later versions are ignored
         event = api.Note(ref, server, api.NoteKind(kind), value) if known else None
         return instance, event, at + _INTERIM.size
 
@@ -238,9 +241,9 @@
 _TEXT = struct.Struct(">HIH")
 _MEMO = struct.Struct(">HIIH")
 ALL_PEERS = 0xFFFFFFFF
-# no time (µs), count or factor of a deployment is larger: more than a year
+# upper bound of the times (µs), counts and factors of a cold server's pace: more than three years in µs
 MOST = 1e14
-# cells and racks that a list can name: 16 bits
+# number of cells and of racks that a 16-bit field of a server list can hold
 MOST_PLACES = 1 << 16
 
 
@@ -272,18 +275,18 @@
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """Give the record of one action."""
+    """Encode one action as a record."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Give the whole frame of a reply."""
+    """Encode a reply of these records as a frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), REPLY_HEADER.size + len(body)) + body
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """Map the wire's settings to the interface; raise `WireError` where they lack what is needed."""
+    """Parse the protocol's JSON settings; raise `WireError` if they are incomplete or malformed."""
     try:
         told = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -291,7 +294,7 @@
     try:
         return _settings(told)
     except KeyError as error:
-        raise WireError(f"settings lack {error.args[0]!r}") from None
+        raise WireError(f"settings have no {error.args[0]!r}") from None
     except (TypeError, ValueError, AttributeError, IndexError, OverflowError) as error:
         raise WireError(f"settings are malformed: {error}") from None
 
@@ -308,7 +311,7 @@
     report, costs = told.get("report", {}), told.get("costs", {})
     ladder = tuple(_number(kb) for kb in family["levelKb"])
     if not ladder or min(ladder) <= 0 or int(told["nInstances"]) < 1:
-        raise ValueError("the ladder is empty, a rate is not above 0, or there are no instances")
+        raise ValueError("the ladder is empty, a rate is not positive, or nInstances is below 1")
     worths = tuple(_number(worth) for worth in family["ladderWorth"])
     if len(worths) != len(ladder):
         raise ValueError("levelKb and ladderWorth differ in length")
@@ -334,11 +337,11 @@
         for place, each in enumerate(services)
     )
     if not classes or not all(0 <= each.floor < len(ladder) and each.scale > 0 for each in classes):
-        raise ValueError("no class, a floor off the ladder, or a scale not above 0")
+        raise ValueError("no service class, a lowest rung off the ladder, or a scale that is not positive")
     told_pace = [rules.get(name, 0) for name in ("cold", "fall", "overloadFactor")]
     told_pace += family.get("kindSlots", ())
     if not all(0 <= _number(each) <= MOST for each in told_pace) or not 0 <= rules.get("coldFrom", 1) <= 1:
-        raise ValueError("a cold server's pace or the streams of a kind are below 0 or beyond reason")
+        raise ValueError("a slow start setting or a number of streams is negative or out of range")
     if max(int(family.get("cells", 0)), int(family.get("racks", 1))) > MOST_PLACES:
         raise ValueError(f"more than {MOST_PLACES} cells or racks")
     span = int(rules.get("ratioSpan", 0))
