--- a/mintmast/__main__.py
+++ b/mintmast/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m mintmast`."""
+"""Entry point of `python -m mintmast`."""
 
 import os
 import sys
 
 
 def main() -> None:
-    """Run the command line; `node` by a short way: a small machine has no room for the rest."""
+    """Run the command line; `node` is handled without importing it, which would not fit a small machine."""
     if sys.argv[1:2] == ["node"] and len(sys.argv) <= 3:
         from mintmast.signalling.node import run
 
@@ -17,8 +17,8 @@
 
 
 def usage() -> int:
-    """Say how `node` is used."""
-    print("mintmast: node takes its configuration as a file or in NODE_CONFIG", file=sys.stderr)
+    """Print the usage of `node` and return the exit status."""
+    print("mintmast: node needs a configuration file as its argument or in NODE_CONFIG", file=sys.stderr)
     return 2
 
 
--- a/mintmast/http/client.py
+++ b/mintmast/http/client.py
@@ -1,8 +1,8 @@
-"""The pooled client: one call at a time on a connection, each with a deadline and one truthful result.
+"""HTTP client with connection pooling: one call at a time per connection, each with exactly one result.
 
-A call that fails tells how far it had come (`Fault`), as whoever pays for the call must know whether the
-other side can have seen it. A connection that the peer closed while idle leaves the pool; a call is never
-repeated here.
+A failed call reports how far it got (`Fault`), because a caller that pays for the call must know whether the
+server may have received it. A connection closed by the peer while idle is removed from the pool. Calls are
+never retried here.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 
 class Fault(Enum):
-    """Why a call brought no whole reply."""
-
-    REFUSED = "refused"  # the peer took no connection
-    NOT_CONNECTED = "not connected"  # no connection within its time, nothing sent
-    CUT_UNSENT = "cut unsent"  # broken before a byte of the call went out
-    CUT = "cut"  # broken after bytes went out, before any byte of a reply
-    CUT_REPLY = "cut reply"  # broken within the reply
-    SILENT = "silent"  # bytes went out, the deadline passed
-    LATE_UNSENT = "late unsent"  # the deadline passed before a byte went out
-    MALFORMED = "malformed"  # the reply is no HTTP, or past its bounds
-    CALLED_OFF = "called off"  # by this side, after bytes went out
+    """The reason why a call has no complete reply."""
+
+    REFUSED = "refused"  # the peer refused the connection
+    NOT_CONNECTED = "not connected"  # the connection attempt failed or timed out; nothing sent
+    CUT_UNSENT = "cut unsent"  # connection lost before any byte of the call was sent
+    CUT = "cut"  # connection lost after bytes were sent, before any byte of a reply
+    CUT_REPLY = "cut reply"  # connection lost within the reply
+    SILENT = "silent"  # bytes were sent, and the deadline passed
+    LATE_UNSENT = "late unsent"  # the deadline passed before any byte was sent
+    MALFORMED = "malformed"  # the reply is not HTTP, or exceeds the limits
+    CALLED_OFF = "called off"  # cancelled by this side after bytes were sent
     CALLED_OFF_UNSENT = "called off unsent"
 
 
 @dataclass(slots=True)
 class Reply:
-    """A whole reply; header names are in lower case."""
+    """A complete reply; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -45,9 +45,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """Bounds of the client: counts, bytes, microseconds."""
+    """Limits of the client in counts, bytes and microseconds."""
 
-    idle_each: int = 8  # idle connections kept for an address
+    idle_each: int = 8  # idle connections kept per address
     idle_time: int = 15_000_000
     connect_time: int = 250_000
     header_bytes: int = 16_384
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A call under way; `done` hears its one result."""
+    """A pending call; `done` is called once with its result."""
 
     address: Address
     data: bytes
@@ -72,7 +72,7 @@
     over: bool = False
 
     def finish(self, result: Reply | Fault) -> None:
-        """Give the result, once."""
+        """Report the result, once."""
         if self.over:
             return
         self.over = True
@@ -82,15 +82,15 @@
 
     @property
     def sent(self) -> bool:
-        """Tell whether any byte of the call was handed to the network."""
+        """Return whether any byte of the call was passed to the network."""
         return self.connection is not None and self.connection.sent_any()
 
     def cancel(self) -> None:
-        """Call it off: the connection breaks, the result is told before this returns."""
+        """Cancel the call: break its connection and report the result before returning."""
         self.stop(Fault.CALLED_OFF if self.sent else Fault.CALLED_OFF_UNSENT)
 
     def stop(self, fault: Fault) -> None:
-        """End it with a fault and break its connection."""
+        """End the call with a failure and break its connection."""
         if not self.over:
             connection = self.connection
             if connection is not None:
@@ -101,12 +101,12 @@
 
 
 class HttpClient:
-    """Calls by address, with idle connections kept for reuse."""
+    """An HTTP client that keeps idle connections per address for reuse."""
 
     def __init__(self, loop: Loop, limits: ClientLimits = DEFAULT, agent: str = "mintmast") -> None:
         self.loop, self.limits, self.agent = loop, limits, agent
         self._idle: dict[Address, list[_Connection]] = {}
-        self.unasked = 0  # times that a peer sent bytes while no call was under way
+        self.unasked = 0  # times that a peer sent bytes while no call was pending
 
     def call(
         self,
@@ -120,7 +120,7 @@
         on_head: Callable[[int, dict[str, str]], None] | None = None,
         on_chunk: Callable[[bytes], None] | None = None,
     ) -> Call:
-        """Send a request; `deadline` is a time of the loop's clock, with None the call may last for ever."""
+        """Send a request; `deadline` is a time of the loop's clock, None means no deadline."""
         lines = [
             f"{method} {target} HTTP/1.1",
             f"Host: {address[0]}:{address[1]}",
@@ -145,7 +145,7 @@
         return call
 
     def close_idle(self, address: Address | None = None) -> None:
-        """Close what carries nothing now."""
+        """Close the idle connections to an address, or all idle connections."""
         for each in [address] if address is not None else list(self._idle):
             for connection in self._idle.pop(each, []):
                 connection.abort()
@@ -158,7 +158,7 @@
             call.stop(Fault.NOT_CONNECTED)
 
     def keep(self, connection: _Connection) -> bool:
-        """Take a connection back, if there is room."""
+        """Return a connection to the pool; return False if the pool is full."""
         idle = self._idle.setdefault(connection.address, [])
         if len(idle) >= self.limits.idle_each:
             return False
@@ -166,7 +166,7 @@
         return True
 
     def forget(self, connection: _Connection) -> None:
-        """Drop a connection that is over."""
+        """Remove a closed connection from the pool."""
         idle = self._idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
@@ -194,7 +194,7 @@
         self._complete = self._keep = False
 
     def take(self, call: Call) -> None:
-        """Carry a further call."""
+        """Send a further call on this connection."""
         if self._idle is not None:
             self._idle.cancel()
         self._reset()
@@ -204,11 +204,11 @@
             self._stream.write(call.data)
 
     def sent_any(self) -> bool:
-        """Tell whether bytes of the present call were handed to the network."""
+        """Return whether bytes of the current call were passed to the network."""
         return self._stream is not None and self._stream.handed_over > self._before
 
     def abort(self) -> None:
-        """Break it, now or as soon as it is connected."""
+        """Break the connection, now or as soon as it is established."""
         self._aborted = True
         if self._stream is not None:
             self._stream.abort()
@@ -221,7 +221,7 @@
         stream.write(self.call.data)
 
     def received(self, data: bytes) -> None:
-        if self.call is None:  # a peer that talks unasked is not to be trusted
+        if self.call is None:  # bytes without a pending call would be taken for the next call's reply
             self._client.unasked += 1
             self.abort()
             return
@@ -258,7 +258,7 @@
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() >= 200:
             self._complete = True
-            self._keep = bool(self._parser.should_keep_alive())  # asked later it no longer knows
+            self._keep = bool(self._parser.should_keep_alive())  # only valid inside this callback
 
     def _deliver(self) -> None:
         call, self.call = self.call, None
--- a/mintmast/http/events.py
+++ b/mintmast/http/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events from bytes (WHATWG HTML, 9.2.6)."""
+"""Parser for server-sent events (WHATWG HTML, 9.2.6)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import msgspec
 
-# bytes of one event; a longer one is from no sender of ours
+# bytes of one event; valid senders send no longer ones
 MOST = 65_536
 
 
 class EventReader:
-    """Reads `event` and `data` fields; other fields and comments are passed over."""
+    """Parse `event` and `data` fields; other fields and comments are ignored."""
 
     def __init__(self, take: Callable[[str, dict[str, Any]], None], most: int = MOST) -> None:
         self._take, self._most = take, most
@@ -22,7 +22,7 @@
         self._size = 0
 
     def feed(self, data: bytes) -> bool:
-        """Take bytes; False where they are no events and the line had better be closed."""
+        """Parse bytes; return False if they are invalid and the connection should be closed."""
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > self._most:
             return False
--- a/mintmast/http/server.py
+++ b/mintmast/http/server.py
@@ -1,10 +1,10 @@
-"""The server: parses with httptools, hands over an `Exchange` a request, answers in order.
+"""HTTP server: parse requests with httptools, pass each to a handler as an `Exchange`, answer in order.
 
-RFC 9112, 9.3: pipelined requests are answered in the order in which they came.
+Pipelined requests are answered in the order in which they were received (RFC 9112, 9.3).
 
-Bounds of a connection come with `ServerLimits`. What is malformed, too large or too slow is answered with its
-status and closed. A peer that ends its side while an answer is owed counts as gone: players do not
-half-close.
+`ServerLimits` bounds each connection. Malformed, oversized and slow requests get an error status, and the
+connection is closed. A peer that closes its side before it has its answer counts as disconnected: players
+do not half-close.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from mintmast.loop import Close, Handler, Loop, Stream, Timer
 
 Headers = list[tuple[str, str]]
-# header lines of one request: browsers send twenty or so
+# header fields of one request; browsers send about twenty
 MOST_FIELDS = 100
 
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """Bounds of a connection: bytes, counts, microseconds."""
+    """Limits of a server and its connections in bytes, counts and microseconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 65_536
@@ -41,7 +41,7 @@
 
 
 class Exchange:
-    """One request and its one answer; later answers are ignored, as the first has been given."""
+    """A request and its single response; further responses are ignored."""
 
     __slots__ = (
         "_parts",
@@ -72,7 +72,7 @@
         self._parts: list[bytes] = []
 
     def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
-        """Give the one answer."""
+        """Send the response."""
         if self.done:
             return
         self.done = True
@@ -82,7 +82,7 @@
         self.connection.flush()
 
     def problem(self, status: int, title: str, detail: str = "", headers: Headers | None = None) -> None:
-        """Answer with problem details (RFC 9457)."""
+        """Send a response with problem details (RFC 9457)."""
         told = {"type": "about:blank", "status": status, "title": title}
         if detail:
             told["detail"] = detail
@@ -90,27 +90,27 @@
         self.respond(status, [("Content-Type", "application/problem+json"), *(headers or [])], body)
 
     def start(self, status: int, headers: Headers) -> None:
-        """Begin an answer of unknown length, in chunks; `send` and `finish` follow."""
+        """Start a chunked response of unknown length; `send` and `finish` follow."""
         self.streaming = True
         self._parts.append(self._head(status, headers, None))
         self.connection.flush()
 
     def send(self, data: bytes) -> bool:
-        """Send a chunk; False where the peer lags behind."""
+        """Send a chunk; return False if the peer reads too slowly."""
         if self.done or not data:
             return True
         self._parts.append(b"%x\r\n%b\r\n" % (len(data), data))
         return self.connection.flush()
 
     def finish(self) -> None:
-        """End a streamed answer."""
+        """End a chunked response."""
         if not self.done:
             self.done = True
             self._parts.append(b"0\r\n\r\n")
             self.connection.flush()
 
     def cut(self) -> None:
-        """Break the connection without an answer."""
+        """Break the connection without a response."""
         self.done = True
         self.connection.abort()
 
@@ -130,7 +130,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
     def take_parts(self) -> bytes:
-        """Give what is ready to be written."""
+        """Return and clear the output that is ready to be written."""
         data, self._parts = b"".join(self._parts), []
         return data
 
@@ -142,7 +142,7 @@
 
 
 class HttpServer:
-    """Listens on an address and calls `handle` with each exchange."""
+    """An HTTP server that listens on an address and calls `handle` with each exchange."""
 
     def __init__(
         self,
@@ -158,7 +158,7 @@
         self.port = self._listener.port
 
     def close(self) -> None:
-        """Accept no more and break what is open."""
+        """Stop accepting and break all open connections."""
         self._listener.close()
         for connection in list(self.connections):
             connection.abort()
@@ -170,7 +170,7 @@
         self._stream: Stream | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._queue: deque[Exchange] = deque()
-        self._now: Exchange | None = None  # being parsed
+        self._now: Exchange | None = None  # the request being parsed
         self._seen = self._size = self._head_lines = self._head_size = 0
         self._url = b""
         self._closing = self._over = False
@@ -178,7 +178,7 @@
         self._fields: dict[str, str] = {}
         self._body: list[bytes] = []
 
-    # From the loop
+    # Callbacks of the loop
 
     def opened(self, stream: Stream) -> None:
         self._stream = stream
@@ -223,7 +223,7 @@
                     exchange.on_gone()
         self._queue.clear()
 
-    # From the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
         self._fields, self._body, self._size, self._url = {}, [], 0, b""
@@ -283,10 +283,10 @@
             self._stream.pause()
         self._server.handle(exchange)
 
-    # Answers
+    # Responses
 
     def flush(self) -> bool:
-        """Write what is ready, in order; False where the peer lags behind."""
+        """Write responses in order as far as they are ready; return False if the peer reads too slowly."""
         if self._over or self._stream is None:
             return False
         ready = True
--- a/mintmast/telemetry/lines.py
+++ b/mintmast/telemetry/lines.py
@@ -1,6 +1,6 @@
-"""Log lines: one JSON object an event, by msgspec.
+"""Structured log: one JSON object per event, encoded with msgspec.
 
-No logging library beside it: the one tried took 11 of the 32 MB that a small machine has.
+No logging library is used: the one tried needed 11 of the 32 MB that a small machine has.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 import msgspec
 
 Say = Callable[..., None]
-# lines a second beyond which they are only counted: a flood of bad peers must not become one of lines
+# lines per second; further ones are only counted, so that many faulty peers cannot flood the log
 MOST_LINES = 200
 
 
 def open_log(path: str) -> IO[str]:
-    """Open the log's file, line by line; `-` is standard output. Raises OSError."""
+    """Open the log file for appending, line-buffered; `-` is standard output. Raises OSError."""
     return sys.stdout if path == "-" else open(path, "a", buffering=1, encoding="utf-8")
 
 
 def line_writer(sink: IO[str], wall: Callable[[], float], most: int = 0, **bound: Any) -> Say:
-    """Give the function that writes a line: JSON of what is bound, the fields, the event and its time.
+    """Return a function that writes a JSON line of the bound fields, its own fields, the event and the time.
 
-    With `most`, no more lines a second are written; `left_out` tells how many were not, in the next one, also
-    those that the sink did not take.
+    `most` limits the lines per second, 0 is no limit. The next line has the number of lines that were
+    dropped in `left_out`, including those that could not be written.
     """
     encoder = msgspec.json.Encoder(enc_hook=str)
     second = written = left_out = 0
@@ -45,7 +45,7 @@
         try:
             sink.write(encoder.encode(line).decode() + "\n")
             sink.flush()
-        except OSError:  # nobody reads it: no reason to fail what was to be told
+        except OSError:  # a log that cannot be written must not fail the operation that logs
             left_out += 1
 
     return say
