--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small fleets for tests of the controller."""
+"""Settings, server lists and events for tests of the controller."""
 
 from dataclasses import replace
 
@@ -57,7 +57,7 @@
 
 
 def fleet(servers=4, seed=1, now=T0, **changes):
-    """A controller that started long before `now`, so that no server counts as cold."""
+    """Return a controller that started long before `now`, so that no server counts as cold."""
     controller = Controller(settings(**changes), seed)
     start = now - 100 * S
     controller.handle(start, api.Started())
@@ -82,6 +82,6 @@
 
 
 def use(controller, now, server, value, ref=9000):
-    """Tell a server's noted use through a session found playing there."""
+    """Report a server's use through a session found playing there."""
     controller.handle(now - 2 * S, api.SessionOpen(ref, 1, 0, 77, 0, server, 500 * S))
     controller.handle(now, api.Note(ref, server, api.NoteKind.LINK, value))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The ordinary path: slot test, holder order, rungs by the price of room, sessions found open."""
+"""Admission: capacity test, order of candidates, rungs by the price of capacity, sessions found open."""
 
 import math
 from dataclasses import replace
@@ -17,12 +17,12 @@
     return found
 
 
-def test_heard_nothing_admits_at_the_top_rung():
+def test_without_reports_the_top_rung_is_granted():
     actions = fleet().handle(T0, request(1))
     assert kinds(actions) == ["SetRung", "SetUp"] and rung(actions) == 3
 
 
-def test_slot_test_at_its_edge():
+def test_capacity_test_at_its_limit():
     limit = 10_000 * decide.MARK
     for need, expected in ((limit - 200, 1), (limit - 199, 0)):
         gateway = fleet(1)
@@ -32,19 +32,19 @@
         assert expected or kinds(actions) == ["Refuse"]
 
 
-def test_uplink_is_tested_too():
+def test_uplink_capacity_is_tested():
     gateway = fleet(1, uplink_kb=5_000.0)
     use(gateway, T0, BOX[0], 0.5)
     assert kinds(gateway.handle(T0, request(1))) == ["Refuse"]
 
 
-def test_refusal_tells_when_to_return_and_only_if_heeded():
+def test_refusal_has_retry_advice_only_if_advice_is_enabled():
     gateway = fleet(0)
     assert gateway.handle(T0, request(1)) == [api.Refuse(1, 500_000)]
     assert fleet(0, may_advise=False).handle(T0, request(1)) == [api.Refuse(1, 0)]
 
 
-def test_roomiest_holder_first_and_only_holders():
+def test_only_holders_are_chosen_and_the_least_loaded_first():
     gateway = fleet(4)
     for n, load in enumerate((0.5, 0.1, 0.3, 0.6)):
         use(gateway, T0, BOX[n], load, 9000 + n)
@@ -53,26 +53,26 @@
     assert sent(gateway.handle(T0, request(3, home=3, copies=1, best=0)))[0].server == BOX[3]
 
 
-def test_ties_are_drawn_from_the_seed():
+def test_ties_are_broken_by_the_seeded_generator():
     picks = [sent(fleet(4, seed=n).handle(T0, request(1)))[0].server for n in range(20)]
     assert len(set(picks)) > 1
     assert picks == [sent(fleet(4, seed=n).handle(T0, request(1)))[0].server for n in range(20)]
 
 
-def test_lower_rung_where_the_top_does_not_fit():
+def test_a_lower_rung_is_granted_if_the_top_does_not_fit():
     gateway = fleet(1)
     use(gateway, T0, BOX[0], 0.8)
     assert 0 <= rung(gateway.handle(T0, request(1))) < 3
 
 
-def test_a_step_worth_less_than_the_price_is_not_taken():
+def test_a_step_worth_less_than_the_price_is_not_granted():
     gateway = fleet(1)
     use(gateway, T0, BOX[0], 0.1)
     gateway.price_at, gateway.price = T0, (1.0, 1.0)
     assert rung(gateway.handle(T0, request(2, best=3))) == 0
 
 
-def test_ended_sessions_leave_the_account():
+def test_ended_sessions_release_their_charge():
     gateway = fleet(1)
     server = gateway.servers[BOX[0]]
     gateway.handle(T0, request(1))
@@ -81,7 +81,7 @@
     assert server.link.changed(T0 + S) == 0
 
 
-def test_charges_end_with_the_hint():
+def test_charges_end_after_the_length_hint():
     gateway = fleet(1)
     gateway.handle(T0, request(1, hint=10 * S))
     link = gateway.servers[BOX[0]].link
@@ -91,7 +91,7 @@
     assert link.changed(T0 + 11 * S) == 0
 
 
-def test_old_notes_fade_to_the_average():
+def test_old_reports_decay_to_the_average():
     gateway = fleet(2)
     use(gateway, T0, BOX[0], 1.0)
     later = T0 + decide.NOTE_FADES
@@ -99,7 +99,7 @@
     assert gateway.servers[BOX[0]].link.need(later, 0.2) < 3000
 
 
-def test_open_session_is_settled_once_when_its_link_is_noted():
+def test_an_open_session_is_raised_when_its_link_is_reported():
     gateway = fleet(1)
     gateway.handle(T0, api.SessionOpen(1, 1, 0, 5, 3, BOX[0], 90 * S))
     gateway.handle(T0, api.Note(1, BOX[0], api.NoteKind.RUNG, 0.0))
@@ -107,17 +107,17 @@
     assert rung(actions) == 3
 
 
-def test_a_session_is_settled_only_once():
+def test_a_provisional_rung_is_reviewed_only_once():
     gateway = fleet(1, instances=1)
     gateway.handle(T0, api.SessionOpen(1, 1, 0, 5, 3, BOX[0], 90 * S))
     gateway.handle(T0, api.Note(1, BOX[0], api.NoteKind.RUNG, 0.0))
-    gateway.price_at = T0 + S  # nothing has a price yet; the slot test alone cuts
+    gateway.price_at = T0 + S  # the price is still 0, so only the capacity test limits the rung
     assert rung(gateway.handle(T0 + S, api.Note(1, BOX[0], api.NoteKind.LINK, 0.48))) == 1
     assert not gateway.handle(T0 + 20 * S, api.Note(1, BOX[0], api.NoteKind.LINK, 0.1))
 
 
 @pytest.mark.parametrize("value", [math.nan, -1.0, math.inf, 1e30])
-def test_senseless_load_values_change_nothing(value):
+def test_invalid_load_values_are_ignored(value):
     gateway = fleet(1)
     use(gateway, T0, BOX[0], 0.2)
     link = gateway.servers[BOX[0]].link
@@ -130,7 +130,7 @@
     assert sent(gateway.handle(T0 + S, request(1)))
 
 
-def test_short_delivery_steps_rungs_down_once():
+def test_short_delivery_lowers_rungs_once():
     gateway = fleet(1)
     (_, set_up) = gateway.handle(T0, request(1))
     gateway.handle(T0, api.Playing(1, 0, set_up.server, 1000))
@@ -139,20 +139,20 @@
     assert not gateway.handle(T0 + 2 * S, short)
 
 
-def test_a_server_that_stands_still_is_not_met_with_lower_rungs():
+def test_a_server_that_delivers_nothing_does_not_lower_rungs():
     gateway = fleet(1)
     (_, set_up) = gateway.handle(T0, request(1))
     gateway.handle(T0, api.Playing(1, 0, set_up.server, 1000))
     assert not gateway.handle(T0 + S, api.Note(1, BOX[0], api.NoteKind.DELIVERED, 0.0))
 
 
-def test_an_uplink_below_what_is_told_is_learned_from_short_delivery_at_two_servers():
+def test_short_delivery_at_two_servers_lowers_the_uplink_estimate():
     gateway = fleet(2)
     use(gateway, T0, BOX[0], 0.5)
     use(gateway, T0, BOX[1], 0.5, 9001)
     told = gateway.uplinks[0].limit
     gateway.handle(T0 + S, api.Note(9000, BOX[0], api.NoteKind.DELIVERED, 0.8))
-    assert gateway.uplinks[0].limit == told  # one server alone may have a weak link
+    assert gateway.uplinks[0].limit == told  # the cause may be the link of a single server
     gateway.handle(T0 + S, api.Note(9001, BOX[1], api.NoteKind.DELIVERED, 0.8))
     lowered = gateway.uplinks[0].limit
     assert 0.6 * told <= lowered < told
@@ -163,7 +163,7 @@
     assert gateway.uplinks[0].limit > 10_000.0
 
 
-def test_a_weak_link_does_not_make_its_uplink_look_full():
+def test_an_overloaded_link_does_not_make_its_uplink_look_full():
     gateway = fleet(2)
     use(gateway, T0, BOX[0], 5.0)
     use(gateway, T0, BOX[1], 0.2, 9001)
@@ -171,7 +171,7 @@
     assert gateway.needs[0] < 14_000
 
 
-def test_a_cut_session_is_settled_when_room_returns():
+def test_a_lowered_session_is_raised_when_capacity_returns():
     gateway = fleet(1)
     use(gateway, T0, BOX[0], 0.92)
     actions = gateway.handle(T0, request(1))
@@ -184,7 +184,7 @@
     assert [a.rung > cut for a in actions if isinstance(a, api.SetRung) and a.request == 1] == [True]
 
 
-def test_own_zone_first_only_where_crossing_is_priced():
+def test_the_own_zone_is_preferred_only_if_crossing_has_a_cost():
     away = replace(box(0), zone=1)
     for price, expected in ((0.02, BOX[1]), (0.0, BOX[0])):
         gateway = fleet(2, cross_zone_cost=price)
@@ -195,42 +195,42 @@
 
 
 @pytest.mark.parametrize("weight", [math.nan, math.inf, -3.0, 0.0])
-def test_senseless_weights_do_not_raise(weight):
+def test_invalid_weights_are_tolerated(weight):
     gateway = fleet(2, weights_told=True)
     gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (replace(box(0), weight=weight),)))
     assert math.isfinite(gateway.servers[BOX[0]].link.limit) and gateway.servers[BOX[0]].link.limit > 0
     assert sent(gateway.handle(T0, request(1)))
 
 
-def test_a_little_short_steps_down_a_part_of_many_gateways():
+def test_slightly_short_delivery_lowers_rungs_at_some_gateways_only():
     stepped = 0
     for seed in range(40):
         gateway = fleet(1, seed=seed)
         gateway.handle(T0, request(1))
         gateway.handle(T0, api.Playing(1, 0, BOX[0], 1000))
         stepped += bool(gateway.handle(T0 + S, api.Note(1, BOX[0], api.NoteKind.DELIVERED, 0.94)))
-    assert 2 < stepped < 25  # if all did, half of the link would stay empty
+    assert 2 < stepped < 25  # if all did, half of the link would stay idle
 
 
-def test_settling_by_many_gateways_fills_the_link_but_no_more():
+def test_reviews_by_many_gateways_fill_the_link_without_overload():
     kb = 0.0
-    for seed in range(100):  # each holds one of a hundred sessions of 200 kB at a link of 40 000
+    for seed in range(100):  # each has one of a hundred sessions of 200 kB/s on a link of 40,000 kB/s
         gateway = fleet(1, seed=seed, instances=100, weight_kb=40_000.0)
         gateway.handle(T0, api.SessionOpen(1, 1, 0, 5, 3, BOX[0], 90 * S))
         gateway.handle(T0, api.Note(1, BOX[0], api.NoteKind.RUNG, 0.0))
-        gateway.price_at = T0 + S  # nothing has a price yet
+        gateway.price_at = T0 + S  # the price is still 0
         gateway.handle(T0 + S, api.Note(1, BOX[0], api.NoteKind.LINK, 0.5))
         kb += gateway.sessions[1].kb
     assert 30_000 < kb < 40_000
 
 
-def test_averages_do_not_refuse_beside_servers_unheard():
+def test_averages_do_not_refuse_requests_that_servers_without_reports_can_hold():
     gateway = fleet(4, uplink_kb=20_000.0)
-    use(gateway, T0, BOX[0], 0.9)  # taken for all, the uplink would be asked for 36 000
+    use(gateway, T0, BOX[0], 0.9)  # with this use at all four servers, uplink demand would be 36,000 kB/s
     assert rung(gateway.handle(T0, request(1, home=1, copies=3))) == 0
 
 
-def test_of_many_holders_a_full_one_is_hardly_ever_taken():
+def test_a_full_server_among_many_holders_is_not_chosen():
     taken = 0
     for seed in range(30):
         gateway = fleet(40, seed=seed, cells=0, racks=1, uplink_kb=400_000.0)
@@ -239,7 +239,7 @@
     assert taken == 0
 
 
-def test_a_draining_server_no_longer_counts_for_its_uplink():
+def test_a_draining_server_does_not_count_for_its_uplink():
     gateway = fleet(2, uplink_kb=15_000.0)
     use(gateway, T0, BOX[0], 0.9)
     gateway.handle(T0 + S, api.ServerList(api.ListKind.DELTA, 2, (box(0, api.ServerState.DRAINING),)))
@@ -247,8 +247,8 @@
     assert rung(gateway.handle(T0 + 2 * S, request(1))) == 3
 
 
-def test_a_server_that_says_full_is_left_out_for_longer_each_time_and_until_a_session_ends_there():
-    """Eight gateways that ask four full holders one after the other send five set-ups for one that runs."""
+def test_the_pause_after_a_full_reply_grows_with_each_one():
+    """Without the pause, eight gateways that try four full holders send five set-ups for each that runs."""
     c = fleet(servers=1)
     pauses, now = [], T0
     for number in range(1, 5):
@@ -261,14 +261,14 @@
 
 
 def try_at(c, now, ref):
-    """Ask, and take the attempt back at once: tell whether one was sent."""
+    """Request a session and end its attempt at once; return whether a set-up was sent."""
     went = sent(c.handle(now, request(ref)))
     if went:
         c.handle(now, end(ref, went[0].server, api.Outcome.NOT_SENT, complete=True))
     return bool(went)
 
 
-def test_an_own_session_that_ends_frees_a_full_server():
+def test_the_end_of_an_own_session_ends_the_pause_of_a_full_server():
     c = fleet(servers=1)
     c.handle(T0, request(1))
     c.handle(T0, api.Playing(1, 0, box(0).server, 1000))
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -1,4 +1,4 @@
-"""Large fleets, the troubles that came with them, and the README's example."""
+"""Large fleets and their failures, and the README's example."""
 
 import json
 import re
@@ -24,8 +24,8 @@
 
 @hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
 @given(STEPS, st.sampled_from([2, 9, 60]))
-def test_the_cold_budget_holds_for_all_gateways_together(steps, gateways):
-    """One server starts cold; gateways ask, die and come back, stand still, and hold only a cached list."""
+def test_all_gateways_together_keep_the_slow_start_budget(steps, gateways):
+    """One server starts cold; gateways get requests, restart, stall, and have only a cached list."""
     start, now, times = T0, T0, []
     listed = (box(0, started=start),)
 
@@ -42,7 +42,7 @@
             fleet_of[me] = birth(me)
         elif what in ("wait", "stall"):
             now += S // 20 if what == "wait" else S
-        asked = range(10) if what == "stall" else range(1)  # all that came meanwhile, at once
+        asked = range(10) if what == "stall" else range(1)  # after a stall, all queued requests at once
         for n in asked:
             actions = fleet_of[me].handle(now, request(ref * 100 + n, best=0, copies=1))
             assert len(sent(actions)) + kinds(actions).count("Refuse") == 1
@@ -52,13 +52,13 @@
         age = first + FALL - start
         if age < COLD:
             budget = 2.5 * STREAMS / 12 * (FALL / S) * (0.4 + 0.6 * age / COLD)
-            # a gateway that dies forgets what it sent: each restart may spend its part once more
+            # a gateway that restarts has lost its record of sent set-ups and may use its share once more
             part = -(-int(budget) // gateways)
             inside = sum(1 for t, _ in times if first <= t < first + FALL)
             assert inside <= budget + restarts * part
 
 
-def test_a_returning_fleet_takes_what_the_budget_allows():
+def test_a_returning_fleet_gets_the_set_ups_that_the_budget_allows():
     taken = 0
     for me in range(60):
         controller = Controller(settings(instance=me, instances=60, cells=40, kind_streams=(30,)), me)
@@ -66,10 +66,10 @@
         listed = tuple(box(n, started=T0) for n in range(40))
         controller.handle(T0, api.ServerList(api.ListKind.CACHED, 1, listed))
         taken += len(sent(controller.handle(T0, request(1, best=0, copies=40))))
-    assert taken > 30  # three set-ups at each of 40 servers are allowed: most gateways find one
+    assert taken > 30  # each of 40 servers may get three set-ups, so most gateways can send one
 
 
-def test_lost_answers_at_most_servers_shut_out_nobody():
+def test_timeouts_at_most_servers_refuse_nobody():
     gateway = fleet(8, cells=8)
     for ref in range(7):
         (out,) = sent(gateway.handle(T0, request(ref, best=0, copies=8)))
@@ -81,7 +81,7 @@
     assert gateway.handle(T0 + 4 * S, end(101, paid.server, Outcome.TIMEOUT)) == [api.Fail(101)]
 
 
-def test_a_slowing_server_that_dies_comes_back_cold():
+def test_a_slow_server_that_resets_a_session_gets_a_slow_start():
     gateway = fleet(1)
     (out,) = sent(gateway.handle(T0, request(1, best=0)))
     gateway.handle(T0, api.Playing(1, 0, out.server, 900_000))
@@ -90,7 +90,7 @@
     assert 0 < len(taken) < 8
 
 
-def test_what_came_during_a_stall_is_taken_in_order_at_once():
+def test_events_queued_during_a_stall_are_handled_in_order():
     gateway = fleet(2)
     (out,) = sent(gateway.handle(T0, request(1, budget=5 * S)))
     late = T0 + 2 * S
@@ -101,7 +101,7 @@
     assert kinds(gateway.handle(late, request(5000, budget=1000))) == ["Refuse"]
 
 
-def test_messages_and_things_unknown_change_nothing():
+def test_peer_messages_and_unknown_ids_change_nothing():
     gateway, other = fleet(2), fleet(2)
     for payload in (b"", b"\x11", bytes(256), b"\xff" * 256):
         assert not gateway.handle(T0, api.PeerMessage(1, payload))
@@ -112,7 +112,7 @@
     assert gateway.handle(T0, request(1)) == other.handle(T0, request(1))
 
 
-def test_a_note_from_the_past_does_not_replace_a_newer_one():
+def test_an_older_report_does_not_replace_a_newer_one():
     gateway = fleet(1)
     link = gateway.servers[box(0).server].link
     link.note(T0, 0.8)
@@ -120,7 +120,7 @@
     assert link.use == 0.8
 
 
-def test_a_huge_list_is_taken_and_a_request_looks_at_its_holders_only():
+def test_with_a_large_list_only_holders_are_chosen():
     gateway = fleet(0, cells=5000, racks=500)
     entries = tuple(
         api.ListEntry(n.to_bytes(6, "big"), api.ServerState.READY, 0, n, 0, 0, 1.0) for n in range(5000)
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -1,4 +1,4 @@
-"""What is over is forgotten, and what is the request's fault is not laid on servers."""
+"""State of ended servers and sessions is removed, and servers are not blamed for faulty requests."""
 
 from helpers import T0, S, box, end, fleet, kinds, request, sent
 
@@ -6,7 +6,7 @@
 from mintmast.interface import Outcome, ServerState
 
 
-def test_servers_that_are_replaced_for_hours_leave_nothing_behind():
+def test_replaced_servers_are_removed():
     gateway = fleet(4)
     now = T0
     for version in range(2, 400):
@@ -17,7 +17,7 @@
     assert sum(map(len, gateway.by_cell.values())) == len(gateway.servers)
 
 
-def test_a_server_gone_a_moment_ago_is_remembered_when_it_returns():
+def test_a_server_that_returns_soon_keeps_its_state():
     gateway = fleet(2)
     (first,) = sent(gateway.handle(T0, request(1)))
     gateway.handle(T0 + 1000, end(1, first.server, Outcome.RESET))
@@ -29,7 +29,7 @@
     assert gateway.servers[first.server].warned == T0 + 1000
 
 
-def test_sessions_that_come_and_go_without_notes_leave_no_charges_behind():
+def test_sessions_without_reports_leave_no_charges():
     gateway = fleet(4)
     for number in range(3000):
         now = T0 + number * S // 10
@@ -41,7 +41,7 @@
     assert not gateway.resends and not gateway.sessions
 
 
-def test_further_attempts_are_not_counted_where_no_budget_limits_them():
+def test_retries_are_not_counted_without_a_retry_budget():
     gateway = fleet(4)
     for number in range(20):
         now = T0 + number * 20 * S
@@ -52,7 +52,7 @@
     assert not gateway.resends
 
 
-def test_a_request_that_errs_wherever_it_goes_makes_no_server_suspect_and_no_demand():
+def test_a_request_that_fails_at_every_server_ejects_none_and_is_no_demand():
     gateway = fleet(4)
     actions = gateway.handle(T0, request(1))
     for attempt in range(4):
@@ -63,7 +63,7 @@
     assert not gateway.broken
 
 
-def test_a_server_that_errs_where_another_does_not_stays_suspect():
+def test_a_server_stays_ejected_if_another_serves_the_same_request():
     gateway = fleet(4)
     (first,) = sent(gateway.handle(T0, request(1)))
     (second,) = sent(gateway.handle(T0 + 1, end(1, first.server, Outcome.ERROR)))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Loop, server and client: on real sockets and in memory, with the peers that break the rules."""
+"""Loop, HTTP server and client on real sockets and in memory, with faulty peers."""
 
 import socket
 
@@ -14,7 +14,7 @@
 
 
 class Net:
-    """Two ends on either network, with one way to let time pass."""
+    """A server and a client loop on the real network or in memory, with a common way to advance time."""
 
     def __init__(self, kind):
         if kind == "real":
@@ -25,10 +25,10 @@
             self.server, self.client, self.host = self.world.node("s"), self.world.node("c"), "s"
 
     def until(self, done, most=5):
-        """Run until `done()`; fail after `most` seconds of the loop's clock."""
+        """Run until `done()` is true; fail after `most` seconds of the loop's clock."""
         end = self.client.now() + most * SECOND
         while not done():
-            assert self.client.now() < end, "it never came"
+            assert self.client.now() < end, "condition was not met in time"
             if hasattr(self, "world"):
                 self.world.run(self.world.time + 1000)
             else:
@@ -41,7 +41,7 @@
 
 
 class Raw(Handler):
-    """A client that writes bytes as told and keeps what comes."""
+    """A client that writes raw bytes and keeps all bytes received."""
 
     def __init__(self, loop, host, port):
         self.data, self.reason, self.stream = b"", None, None
@@ -90,7 +90,7 @@
         ),
     ],
 )
-def test_malformed_large_and_slow_requests_get_their_status_and_are_closed(net, data, status):
+def test_malformed_large_and_slow_requests_get_an_error_status_and_a_close(net, data, status):
     limits = ServerLimits(header_time=SECOND // 5, body_bytes=1000)
     server = HttpServer(net.server, net.host, 0, lambda each: each.respond(200), limits)
     raw = Raw(net.client, net.host, server.port)
@@ -100,7 +100,7 @@
     assert raw.data.startswith(b"HTTP/1.1 " + status)
 
 
-def test_a_request_is_read_whole_wherever_it_is_cut(net):
+def test_a_request_split_at_any_byte_is_parsed(net):
     seen = []
     server = HttpServer(net.server, net.host, 0, lambda each: (seen.append(each.body), each.respond(200)))
     request = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
@@ -113,7 +113,7 @@
     assert seen == [b"hello"]
 
 
-def test_connections_over_the_limit_are_closed_and_those_within_go_on(net):
+def test_connections_over_the_limit_are_closed_and_others_continue(net):
     server = HttpServer(net.server, net.host, 0, lambda each: each.respond(200), ServerLimits(connections=2))
     raws = [Raw(net.client, net.host, server.port) for _ in range(3)]
     net.until(lambda: sum(raw.reason is not None for raw in raws) == 1)
@@ -122,7 +122,7 @@
     net.until(lambda: alive.data)
 
 
-def test_each_fault_of_a_call_tells_how_far_it_had_come(net):
+def test_each_failure_of_a_call_reports_how_far_it_got(net):
     held = []
     server = HttpServer(net.server, net.host, 0, held.append)
     client = HttpClient(net.client, ClientLimits(connect_time=SECOND // 5))
@@ -161,7 +161,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n" + b"x" * 200_000, Fault.MALFORMED),
     ],
 )
-def test_a_reply_cut_at_any_place_or_out_of_bounds_is_never_taken_for_a_whole_one(net, reply, fault):
+def test_a_truncated_or_oversized_reply_is_a_failure(net, reply, fault):
     class Bad(Handler):
         def opened(self, stream):
             self.stream = stream
@@ -178,7 +178,7 @@
     assert results == [fault]
 
 
-def test_a_connection_is_used_again_and_kept_idle_within_the_bound(net):
+def test_connections_are_reused_and_idle_ones_are_limited(net):
     server = HttpServer(net.server, net.host, 0, lambda each: each.respond(200, [], b"x"))
     client = HttpClient(net.client, ClientLimits(connect_time=SECOND, idle_each=2))
     results = []
@@ -191,7 +191,7 @@
     net.until(lambda: len(results) == 8 and len(server.connections) == 2)
 
 
-def test_an_idle_connection_that_the_peer_closed_is_not_used_again(net):
+def test_an_idle_connection_that_the_peer_closed_is_not_reused(net):
     server = HttpServer(
         net.server, net.host, 0, lambda each: each.respond(200), ServerLimits(idle_time=SECOND // 10)
     )
@@ -205,7 +205,7 @@
     assert all(isinstance(each, Reply) for each in results)
 
 
-def test_a_peer_that_does_not_read_is_cut_off_at_the_bound(net):
+def test_a_peer_that_does_not_read_is_disconnected_at_the_limit(net):
     class Pour(Handler):
         reason = None
 
@@ -230,7 +230,7 @@
     assert Pour.reason is Close.OVERFLOW
 
 
-def test_an_exception_in_a_callback_costs_its_stream_and_not_the_loop():
+def test_an_exception_in_a_callback_aborts_its_stream_only():
     texts = []
     loop = SelectorLoop(texts.append)
 
@@ -250,7 +250,7 @@
     assert "a fault of ours" in texts[0]
 
 
-def test_the_world_in_memory_is_the_same_run_for_the_same_seed():
+def test_runs_in_memory_are_reproducible_from_the_seed():
     def story(seed):
         world, lines = World(seed), []
         server = HttpServer(world.node("s"), "s", 80, lambda each: each.respond(200, [], each.body))
@@ -264,7 +264,7 @@
     assert story(3) == story(3) != story(4)
 
 
-def test_a_cut_path_delays_and_a_killed_node_resets():
+def test_a_cut_path_blocks_connections_and_a_killed_node_resets_them():
     world = World(1)
     server_node, client_node = world.node("s"), world.node("c")
     server = HttpServer(server_node, "s", 80, lambda each: each.respond(200))
@@ -284,7 +284,7 @@
     assert isinstance(results[1], Reply) and raw.reason is Close.RESET
 
 
-def test_real_listener_says_refused_where_nobody_listens():
+def test_a_connection_to_a_closed_port_is_refused():
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""Gateways and links that fail: drills of membership in memory and on processes, and that faults are seen."""
+"""Failing gateways and links: membership drills in memory and on processes, and detection of faults."""
 
 import json
 from dataclasses import replace
@@ -22,29 +22,29 @@
 
 
 @pytest.mark.parametrize("name", [*members.CASES, "secrets", "three-of-five"])
-def test_each_hard_case_keeps_all_rules_in_memory(name):
+def test_each_fault_case_keeps_all_rules_in_memory(name):
     small = replace(drills.DRILLS[f"members-{name}"].day, rate=3.0)
     report = drills.run(f"members-{name}", 3, "memory", day=small)
     assert report["good"], report["rules"]
     assert all(report["rules"][rule]["checked"] for rule in OWN)
-    # calls of one whose clock is wrong are taken for old ones: it learns nothing and does not vote
+    # calls of a gateway with a wrong clock are rejected as old: it learns nothing and does not vote
     assert report["measures"]["vote_at_end"] == report["measures"]["live_at_end"] - (name == "clock") >= 4
 
 
-def test_drawn_days_keep_all_rules_and_the_same_seed_is_the_same_day():
+def test_random_drills_keep_all_rules_and_are_reproducible():
     reports = [drills.run("members", seed, "memory") for seed in (1, 2, 1)]
     assert all(report["good"] for report in reports), reports
     assert json.dumps(reports[0]) == json.dumps(reports[2])
 
 
-def test_a_lost_machine_costs_no_more_than_a_dead_process():
+def test_a_lost_machine_serves_about_as_many_viewers_as_a_dead_process():
     worth = {}
     for name in ("refuses", "vanishes", "unheard"):
         report = drills.run(f"roaming-{name}", 601, "memory")
         assert report["good"], report["rules"]
         worth[name] = report["worth"]["answered"] / report["worth"]["asked"]
-    # of the viewers of one that vanished a few wait for a connection in vain; those of one that is not heard
-    # are told to ask elsewhere, as it cannot ask who owns their keys
+    # A few viewers of a vanished gateway wait for a connection in vain. Viewers of an unheard gateway are
+    # redirected to another one, because it cannot ask the others for the owners of their keys.
     assert worth["vanishes"] > worth["refuses"] - 0.05 and worth["unheard"] > worth["refuses"] - 0.05
     assert report["measures"]["misdirected"] > 20
 
@@ -56,17 +56,17 @@
     assert all(report["rules"][rule]["checked"] for rule in OWN)
 
 
-def test_no_two_names_have_one_port():
+def test_ports_of_different_names_are_distinct():
     port_of = Ports(own_address())
-    # 700 numbers drawn freely from some 28,000 would hold about nine twice
+    # of 700 numbers drawn independently from about 28,000, about nine would collide
     assert len({port_of(f"link-{number}") for number in range(700)}) == 700
 
 
-# The ways of both networks: the same fault looks the same to who is at its end
+# A fault of a path has the same effect for a caller on both networks
 
 
 def exchange(loops, cases):
-    """Give what a caller hears, over ways of which each has a fault."""
+    """Return the result of a call for each case, each with a fault of the path."""
     told = {}
     for name, way, (near, run, setup) in cases:
         setup(way)
@@ -86,7 +86,7 @@
         "short": Way(short=1.0)}  # fmt: skip
 
 
-def test_the_ways_of_both_networks_are_alike():
+def test_path_faults_look_alike_on_both_networks():
     world = World(1)
     near, far = world.node("gw0"), world.node("gw1")
     HttpServer(far, "gw1", 80, answer)
@@ -106,7 +106,7 @@
         real = exchange({"to": (host, int(port))}, cases)
         assert real["plain"] == real["late"] == 200 and real["cut"] is real["swallows"] is Fault.SILENT
         assert isinstance(real["short"], Fault)
-        plain = [name for name in WAYS if name != "cut"]  # a connection into a cut path opens on a link only
+        plain = [name for name in WAYS if name != "cut"]  # over a cut path, only links open connections
         assert [real[name] for name in plain] == [memory[name] for name in plain]
         links.listen(1, False)
         put(Way())
@@ -118,7 +118,7 @@
         loop.close()
 
 
-# What judges the views
+# Checks of the gateways' views of each other
 
 
 def view(at, name, start, **stands):
@@ -133,7 +133,7 @@
     return {rule for rule in OWN if found.broken.get(rule)}
 
 
-def test_views_that_are_wrong_are_seen():
+def test_wrong_views_are_detected():
     well = [view(0, name, 1, **dict.fromkeys({"a", "b", "c"} - {name}, "heard")) for name in "abc"]
     late = SETTLED + MOST + 2
     assert judged(*well, view(late, "a", 1, b="heard", c="heard")) == set()
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("fault", ["no-refutation", "lost-is-dead"])
-def test_a_machine_without_its_defences_is_found_out(fault):
+def test_a_drill_detects_a_gateway_without_its_safeguards(fault):
     small = replace(drills.DRILLS["members-stopped"].day, rate=3.0)
     report = drills.run("members-stopped", 2, "memory", fault, small)
     assert any(report["rules"][rule]["broken"] for rule in OWN)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each with a case that would break it."""
+"""The six rules, each with a case that would violate it."""
 
 import pytest
 from helpers import T0, S, box, end, fleet, kinds, request, sent, use
@@ -13,26 +13,26 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_paid_set_up_that_may_have_run_is_only_given_up(outcome):
+def test_a_paid_set_up_that_may_have_run_fails_without_retry(outcome):
     gateway = fleet()
     (first,) = sent(gateway.handle(T0, request(1, service=0)))
     assert gateway.handle(T0 + 1000, end(1, first.server, outcome)) == [api.Fail(1)]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_paid_set_up_that_never_ran_is_sent_elsewhere(outcome):
+def test_a_paid_set_up_that_never_ran_is_retried_elsewhere(outcome):
     gateway = fleet()
     (first,) = sent(gateway.handle(T0, request(1, service=0)))
     (second,) = sent(gateway.handle(T0 + 1000, end(1, first.server, outcome)))
     assert second.server != first.server
 
 
-def test_paid_set_up_has_all_the_time_and_a_free_one_is_cut_short():
+def test_only_free_set_ups_have_an_attempt_timeout():
     assert sent(fleet().handle(T0, request(1, service=0)))[0].timeout_at == 0
     assert T0 < sent(fleet().handle(T0, request(1, service=1)))[0].timeout_at < T0 + 3 * S
 
 
-def test_free_set_up_is_sent_again_and_ends_in_one_answer():
+def test_a_free_set_up_is_retried_and_answered_once():
     gateway = fleet(2, max_attempts=2)
     (first,) = sent(gateway.handle(T0, request(1)))
     (second,) = sent(gateway.handle(T0 + 1000, end(1, first.server, Outcome.ERROR)))
@@ -41,7 +41,7 @@
     assert not gateway.handle(T0 + 3000, api.ViewerGone(1))
 
 
-def test_no_time_left_gives_a_prompt_answer():
+def test_a_request_near_its_deadline_is_answered_at_once():
     gateway = fleet()
     assert kinds(gateway.handle(T0, request(1, budget=1000))) == ["Refuse"]
     (first,) = sent(gateway.handle(T0, request(2, budget=2 * S)))
@@ -50,17 +50,17 @@
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_nothing_new_to_a_draining_or_gone_server(state):
+def test_draining_and_gone_servers_get_no_set_ups(state):
     gateway = fleet(2)
     gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (box(0, state),)))
     for ref in range(4):
         (set_up,) = sent(gateway.handle(T0, request(ref)))
         assert set_up.server == BOX[1]
-    # a later attempt of an earlier request is bound too
+    # this also holds for a retry of an earlier request
     assert kinds(gateway.handle(T0 + 1000, end(0, BOX[1], Outcome.FULL))) == ["Refuse"]
 
 
-def test_what_a_full_list_lacks_is_gone():
+def test_servers_missing_from_a_full_list_are_gone():
     gateway = fleet(2)
     gateway.handle(T0, api.ServerList(api.ListKind.FULL, 2, (box(1),)))
     assert {sent(gateway.handle(T0, request(n)))[0].server for n in range(4)} == {BOX[1]}
@@ -73,7 +73,7 @@
 
 
 def within_budget(times, start, streams=30):
-    """Tell whether no window holds more than the server stands at its end."""
+    """Return whether no window has more set-ups than the server can handle at the end of the window."""
     for first in times:
         warmth = 0.4 + 0.6 * min(1, max(0, first + 1_500_000 - start) / (12 * S))
         budget = 2.5 * streams / 12 * 1.5 * warmth
@@ -85,7 +85,7 @@
 TIMES = [T0 + n * S // 20 for n in range(200)]
 
 
-def test_cold_server_is_paced_in_every_window():
+def test_slow_start_holds_in_every_window():
     times = []
     for me in range(2):
         gateway = fleet(0, instance=me)
@@ -95,14 +95,14 @@
     assert 10 < len(times) < len(TIMES) / 3
 
 
-def test_cached_list_is_no_proof_of_warmth():
+def test_a_cached_list_does_not_show_that_servers_are_warm():
     gateway = Controller(fleet().settings, 1)
     gateway.handle(T0, api.Started())
     gateway.handle(T0, api.ServerList(api.ListKind.CACHED, 1, (box(0),)))
     assert within_budget(cold_sends(gateway, TIMES), T0)
 
 
-def test_sessions_handed_over_prove_a_planned_start_but_no_young_server_warm():
+def test_after_a_planned_start_only_recently_started_servers_are_cold():
     for listed, few in ((0, False), (T0 - S, True)):
         gateway = Controller(fleet().settings, 1)
         gateway.handle(T0, api.Started())
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
-def test_a_broken_connection_warns_of_a_cold_return(outcome):
+def test_a_broken_connection_triggers_slow_start(outcome):
     gateway = fleet(1)
     (first,) = sent(gateway.handle(T0 - S, request(999)))
     gateway.handle(T0 - S, end(999, first.server, outcome))
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 4, 7, 150])
-def test_many_gateways_share_a_small_cold_server(gateways):
+def test_many_gateways_share_the_budget_of_a_small_cold_server(gateways):
     sends = []
     for me in range(gateways):
         gateway = fleet(0, instance=me, instances=gateways, kind_streams=(20,))
@@ -129,13 +129,13 @@
     assert within_budget(sorted(sends), T0 - S, streams=20)
 
 
-def test_warm_again_after_the_warm_up():
+def test_slow_start_ends_after_the_warm_up():
     gateway = fleet(0)
     gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (box(0, started=T0 - 12 * S),)))
     assert len(cold_sends(gateway, [T0 + n for n in range(5)])) == 5
 
 
-def test_seats_count_set_ups_and_are_given_back():
+def test_seats_count_set_ups_and_are_released():
     gateway = fleet()
     sent_up = [sent(gateway.handle(T0, request(ref, service=0, best=0))) for ref in range(3)]
     assert [len(each) for each in sent_up] == [1, 1, 0]
@@ -144,7 +144,7 @@
     assert not sent(gateway.handle(T0, request(4, service=0, best=0)))
 
 
-def test_seat_is_kept_while_the_attempt_of_a_gone_viewer_runs():
+def test_the_seat_of_a_disconnected_viewer_is_kept_while_its_attempt_runs():
     gateway = fleet()
     for ref in range(2):
         gateway.handle(T0, request(ref, service=0, best=0))
@@ -152,7 +152,7 @@
     assert not sent(gateway.handle(T0, request(2, service=0, best=0)))
 
 
-def test_floor_is_kept():
+def test_no_rung_below_the_floor_is_granted():
     classes = (api.ServiceClass(api.Effect.FREE, S, 3 * S, 1.0, floor=1, top=3),)
     gateway = fleet(classes=classes)
     assert kinds(gateway.handle(T0, request(1, service=0, best=0))) == ["Refuse"]
@@ -161,7 +161,7 @@
     assert [a.rung for a in actions if isinstance(a, api.SetRung)] == [1]
 
 
-def test_attempt_budget():
+def test_the_retry_budget_limits_retries():
     gateway = fleet(budget=api.AttemptBudget(10 * S, 1.0, 0.0))
     for ref in range(2):
         gateway.handle(T0, request(ref))
@@ -171,21 +171,21 @@
     assert len(again) == 1
 
 
-def test_no_more_than_the_allowed_attempts():
+def test_the_number_of_attempts_is_limited():
     gateway = fleet(4, max_attempts=2)
     (first,) = sent(gateway.handle(T0, request(1)))
     (second,) = sent(gateway.handle(T0, end(1, first.server, Outcome.FULL)))
     assert kinds(gateway.handle(T0, end(1, second.server, Outcome.FULL, 1))) == ["Refuse"]
 
 
-def test_subscription_is_opened_and_opened_again():
+def test_the_subscription_is_retried_after_a_failure():
     gateway = Controller(fleet(must_subscribe=True).settings, 1)
     assert gateway.handle(T0, api.Started()) == [api.Subscribe()]
     (timer,) = gateway.handle(T0, api.ServerList(api.ListKind.FAILED, 0))
     assert gateway.handle(T0 + timer.delay, api.TimerFired(timer.token)) == [api.Subscribe()]
 
 
-def test_a_server_that_fails_quickly_does_not_draw_sessions():
+def test_a_server_that_fails_quickly_does_not_attract_sessions():
     gateway = fleet(2)
     (first,) = sent(gateway.handle(T0, request(1)))
     gateway.handle(T0, end(1, first.server, Outcome.ERROR))
@@ -193,7 +193,7 @@
     assert first.server not in later
 
 
-def test_a_fault_everywhere_shuts_out_nobody():
+def test_a_fault_of_all_servers_refuses_nobody():
     gateway = fleet(2)
     for ref in (1, 2):
         (set_up,) = sent(gateway.handle(T0, request(ref)))
@@ -206,12 +206,12 @@
     (first,) = sent(gateway.handle(T0, request(1)))
     (other,) = [each for each in BOX[:2] if each != first.server]
     use(gateway, T0, first.server, 0.1)
-    use(gateway, T0, other, 0.5, 9001)  # the silent one looks emptier
+    use(gateway, T0, other, 0.5, 9001)  # the unresponsive server looks less loaded
     later = [sent(gateway.handle(T0 + S // 2, request(n, best=0)))[0].server for n in range(2, 6)]
     assert first.server not in later
 
 
-def test_paid_sessions_do_not_find_out_whether_a_server_is_well_again():
+def test_paid_sessions_do_not_probe_a_failed_server():
     gateway = fleet(2)
     (first,) = sent(gateway.handle(T0, request(1)))
     (second,) = sent(gateway.handle(T0, end(1, first.server, Outcome.ERROR)))
@@ -223,12 +223,12 @@
         assert set_up.server != first.server
 
 
-def test_dead_delivery_counts_as_a_failure():
+def test_a_server_that_delivers_nothing_is_ejected():
     gateway = fleet(2)
     (first,) = sent(gateway.handle(T0, request(1)))
     gateway.handle(T0, api.Playing(1, 0, first.server, 1000))
     (other,) = [each for each in BOX[:2] if each != first.server]
     use(gateway, T0, first.server, 0.1)
-    use(gateway, T0, other, 0.5, 9001)  # the one that stands still looks emptier
+    use(gateway, T0, other, 0.5, 9001)  # the server that delivers nothing looks less loaded
     gateway.handle(T0 + S, api.Note(1, first.server, api.NoteKind.DELIVERED, 0.0))
     assert sent(gateway.handle(T0 + S, request(2, best=0)))[0].server != first.server
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the rules and exactly one answer hold, whatever comes."""
+"""Random valid event sequences: the rules hold and each request gets exactly one answer."""
 
 from helpers import T0, S, box, settings
 from hypothesis import given
@@ -30,7 +30,7 @@
 
 
 class World:
-    """Plays the other side and checks every action."""
+    """Simulate viewers and servers, and check every action."""
 
     def __init__(self, seed):
         self.settings = settings(budget=api.AttemptBudget(20 * S, 2.0, 0.5))
@@ -80,7 +80,7 @@
             }  # fmt: skip
             self.do(api.SessionRequest(ref, a % 2, 0, b % 2, 3 * S, b, 3, b % 4, 20 * S))
             r = self.requests[ref]
-            assert r["answered"] or r["out"], "a request is sent or answered at once"
+            assert r["answered"] or r["out"], "request was neither sent nor answered"
         elif what == "list":
             server = box(a % 4)
             state = list(ServerState)[b % 3]
@@ -107,7 +107,7 @@
                 r["maybe"] |= outcome not in NEVER_RAN
                 r["answered"] |= ended
                 self.do(api.AttemptEnd(ref, r["attempts"] - 1, server, outcome, 1000, ended, (value,)))
-                assert r["answered"] or r["out"], "an attempt that failed is followed or answered at once"
+                assert r["answered"] or r["out"], "failed attempt was neither retried nor answered"
 
 
 @hypothesis_settings(derandomize=True, max_examples=150, deadline=None)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start over the fleet: many gateways' modules against one count of what a cold host gets."""
+"""Slow start over a fleet: many gateways' controllers and the set-ups that one cold host gets from all."""
 
 import random
 from bisect import bisect_left
@@ -11,20 +11,20 @@
 
 S = 1_000_000
 MS = 1000
-BORN = 100 * S  # when the host's process started
+BORN = 100 * S  # start time of the host's process
 COLD, FALL, STREAMS, MULTIPLE, FROM = 8 * S, 1_500_000, 90, 2.5, 0.5
 HOST = b"box-01"
 CONNECT = 250 * MS  # the longest that a set-up may wait for its connection
 
 
 def allowed(at):
-    """What the settings allow in a window that begins at `at`."""
+    """Return the set-ups that the settings allow in a window that begins at `at`."""
     warmth = FROM + (1 - FROM) * min(1.0, max(0, at - BORN) / COLD)
     return MULTIPLE * STREAMS / COLD * warmth * FALL
 
 
 class Gateway:
-    """One process of the fleet; each start forgets all, and knows the host once it has heard the list."""
+    """A gateway process; a restart loses all state, and the host is known once the list was received."""
 
     def __init__(self, fleet, number, of, seed):
         self.fleet, self.number, self.seed = fleet, number, seed
@@ -57,14 +57,14 @@
 
 
 class Fleet:
-    """Gateways that all get more than the host can bear, and what it gets in every window."""
+    """Gateways that get more requests than the host can handle, and a record of the host's set-ups."""
 
     def __init__(self, count, seed, late=0):
-        self.draw, self.late, self.sends = random.Random(seed), late, []  # late: µs, in every other 0.8 s
+        self.draw, self.late, self.sends = random.Random(seed), late, []  # late: µs, every other 0.8 s
         self.gateways = [Gateway(self, number, count, seed * 1000) for number in range(count)]
 
     def start(self):
-        """Start all gateways long before the host."""
+        """Start all gateways long before the host starts."""
         for gateway in self.gateways:
             gateway.start(BORN - 60 * S)
 
@@ -72,7 +72,7 @@
         self.sends.append(now + self.late * (now // (800 * MS) % 2))
 
     def play(self, since, until, each, between=lambda now: None):
-        """Let every gateway be asked `each` times a second, in bursts as they come."""
+        """Send `each` requests per second to every gateway at random times."""
         for now in range(since, until, 10 * MS):
             between(now)
             for gateway in self.gateways:
@@ -80,7 +80,7 @@
                     gateway.ask(now + self.draw.randrange(10 * MS))
 
     def worst(self):
-        """Give how far the fullest window is above its bound, N + 2 * root of N + 2; under 0 is well."""
+        """Return the largest excess of a window over its bound, N + 2 * sqrt(N) + 2; 0 or less if it holds."""
         times = sorted(self.sends)
         over = []
         for place, begin in enumerate(times):
@@ -92,12 +92,12 @@
 
 
 SIZES = (2, 20, 30)
-PLAYED, ASKED = 4 * S, 400  # µs, and requests a second of all together: many times what the host may get
+PLAYED, ASKED = 4 * S, 400  # µs, and requests per second in total: many times the host's budget
 
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_all_together_keep_the_pace_at_any_phase_of_the_warm_up(count, seed):
+def test_all_gateways_together_keep_the_budget_during_the_warm_up(count, seed):
     fleet = Fleet(count, seed)
     fleet.start()
     fleet.play(BORN, BORN + PLAYED, ASKED / count)
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_gateways_that_restart_inside_the_window_and_forget_what_they_sent_keep_it_too(count, seed):
+def test_gateways_that_restart_within_a_window_keep_the_budget(count, seed):
     fleet = Fleet(count, seed)
     fleet.start()
 
@@ -122,8 +122,8 @@
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("at", [300 * MS, 800 * MS, 1300 * MS])
-def test_old_and_new_processes_of_one_name_that_overlap_keep_it_too(count, seed, at):
-    """All are replaced at once; the old ones are asked for 0.9 s more, the new ones were handed sessions."""
+def test_overlapping_processes_of_one_gateway_keep_the_budget(count, seed, at):
+    """All are replaced at once; the old get requests for 0.9 s more, the new were handed over sessions."""
     fleet, ends = Fleet(count, seed), []
     fleet.start()
 
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_set_ups_that_wait_for_a_connection_and_leave_later_keep_it_too(count, seed):
+def test_set_ups_delayed_by_connecting_keep_the_budget(count, seed):
     fleet = Fleet(count, seed, late=CONNECT)
     fleet.start()
     fleet.play(BORN, BORN + PLAYED, ASKED / count)
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_gateways_that_have_not_heard_of_the_host_yet_make_no_difference(count, seed):
+def test_gateways_that_do_not_have_the_host_in_their_list_yet_keep_the_budget(count, seed):
     fleet = Fleet(count, seed)
     for place, gateway in enumerate(fleet.gateways):
         gateway.start(BORN - 60 * S, known=place % 2 == 0)
@@ -170,8 +170,8 @@
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
-def test_a_host_that_returns_under_its_old_id_is_cold_for_all_that_knew_it_warm(count, seed):
-    """Busy until it died, 0.4 s before it is back; its new start is told by the list."""
+def test_a_restarted_host_with_the_same_id_gets_a_slow_start(count, seed):
+    """The host is busy until it dies, returns after 0.4 s, and the list has its new start time."""
     fleet = Fleet(count, seed)
     for gateway in fleet.gateways:
         gateway.start(BORN - 60 * S, known=False)
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -1,4 +1,4 @@
-"""A gateway that sees a small part of a large fleet's sessions: its connections, what it believes."""
+"""A gateway with a small share of a large fleet's sessions: its connections and its estimate of use."""
 
 import random
 import statistics
@@ -11,7 +11,7 @@
 
 
 def servers_used(**changes):
-    """Play sixty sessions a second apart, ten seconds each, and give the servers they went to."""
+    """Play sixty sessions of ten seconds, one second apart; return the gateway and the servers chosen."""
     gateway, servers = fleet(HOSTS, cells=HOSTS, links_kb=400_000.0, uplink_kb=400_000.0, **changes), []
     for n in range(60):
         now = T0 + n * S
@@ -24,14 +24,14 @@
     return gateway, servers
 
 
-def test_where_new_connections_are_priced_set_ups_go_to_few_servers_not_to_all():
+def test_with_a_handshake_cost_set_ups_go_to_few_servers():
     _, free = servers_used()
     _, priced = servers_used(handshake_cost=0.08, line_idle=15 * S)
     assert len(set(free)) > 25
     assert len(set(priced)) < 0.6 * len(set(free))
 
 
-def test_a_near_server_that_is_noted_as_full_is_left_all_the_same():
+def test_a_connected_server_that_is_reported_full_is_not_chosen():
     gateway, servers = servers_used(handshake_cost=0.08, line_idle=15 * S)
     now = T0 + 61 * S
     near = servers[-1]
@@ -42,11 +42,11 @@
 
 
 def heard_of(seed, copies):
-    """Give the average that a gateway believes in, the plain one of those it heard of, and the true one."""
+    """Return a gateway's estimate of the mean use, the plain mean of its reports, and the true mean."""
     draw = random.Random(seed)
     uses = [draw.uniform(0.15, 0.95) for _ in range(200)]
     gateway = fleet(200, cells=200, links_kb=2_000_000.0, uplink_kb=2_000_000.0)
-    # a server is heard of where a session of this gateway's plays: in proportion to what it carries
+    # a server is reported where a session of this gateway plays, in proportion to the server's load
     heard = set(draw.choices(range(200), uses, k=25))
     for number in heard:
         use(gateway, T0, box(number).server, uses[number], 9000 + number)
@@ -60,12 +60,12 @@
     return (statistics.fmean(each) for each in zip(*told, strict=True))
 
 
-def test_the_average_of_servers_heard_is_not_that_of_the_busy_ones():
+def test_the_mean_use_corrects_for_the_bias_towards_busy_servers():
     believed, plain, true = averages(copies=4)
     assert plain - true > 0.07
     assert abs(believed - true) < 0.6 * (plain - true)
 
 
-def test_where_every_server_holds_every_title_those_heard_were_chosen_and_count_as_they_are():
+def test_the_mean_use_is_uncorrected_if_every_server_holds_every_title():
     believed, plain, _ = averages(copies=200)
     assert abs(believed - plain) < 0.01
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The frames shown in the wire's page, byte for byte, and what is malformed."""
+"""Frames of the protocol's documentation, byte for byte, and malformed input."""
 
 import json
 import struct
@@ -80,12 +80,12 @@
 
 
 @pytest.mark.parametrize(("text", "event"), EVENTS)
-def test_events(text, event):
+def test_events_are_decoded(text, event):
     assert list(wire.Decoder().events(raw(text))) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
-def test_actions(text, action):
+def test_actions_are_encoded(text, action):
     assert wire.encode_action(3, action) == raw(text)
 
 
@@ -99,7 +99,7 @@
     assert frame[:8] == raw("00000003 00000047") and len(frame) == 0x47
 
 
-def test_lists_and_bank_reuse():
+def test_a_list_number_can_be_reused():
     members = "0410 00000003 02 0000000000000029 00"
     one = "0460 00 00000001 0000000000000000 0002 0001 0000 3f800000 0a124a07 1b5b 02"
     first, second = wire.Decoder().events(raw(LEDGER + members + one + members))
@@ -108,12 +108,12 @@
     assert [e.state for e in second[1].entries] == [api.ServerState.DRAINING]
 
 
-def test_failed_list_call_needs_no_bank():
+def test_a_failed_list_update_needs_no_list():
     ((_, event),) = wire.Decoder().events(raw("0410 00000003 03 0000000000000029 07"))
     assert event == api.ServerList(api.ListKind.FAILED, 41)
 
 
-def test_spawn_and_teardown_and_unknown_keys():
+def test_spawn_and_teardown_with_unknown_settings():
     text = json.dumps(SETTINGS).encode()
     spawn = struct.pack(">HIQI", 1010, 3, 9, len(text)) + text
     events = list(wire.Decoder().events(spawn + raw("03e8 00000003") + spawn))
@@ -127,12 +127,12 @@
         "ffff 00000003",  # unknown code
         "041a 00000003 5d3a",  # cut short
         "03fc 00000003 5d3a91c4 00 0a124a07 1b5b 0063 00004844 01 00",  # unknown outcome
-        "0410 00000003 02 0000000000000029 05",  # a list never sent
-        "0442 00000003 0002 0009 6869",  # content past the end
-        "0460 00 00000009 00",  # list past the end
+        "0410 00000003 02 0000000000000029 05",  # list that was never sent
+        "0442 00000003 0002 0009 6869",  # payload exceeds the frame
+        "0460 00 00000009 00",  # list exceeds the frame
     ],
 )
-def test_malformed_events(body):
+def test_malformed_events_are_rejected(body):
     with pytest.raises(wire.WireError):
         list(wire.Decoder().events(raw(body)))
 
@@ -142,7 +142,7 @@
     [b"{", b"[]", b"null", json.dumps({**SETTINGS, "services": 3}).encode()]
     + [json.dumps({k: v for k, v in SETTINGS.items() if k != gone}).encode() for gone in list(SETTINGS)[:5]],
 )
-def test_bad_settings(text):
+def test_incomplete_settings_are_rejected(text):
     with pytest.raises(wire.WireError):
         wire.parse_settings(text)
 
@@ -175,19 +175,19 @@
         "00000012 0000000000000001 ffff 00000003",
     ],
 )
-def test_adapter_tells_of_bad_input_in_one_line(data):
+def test_adapter_reports_malformed_input_in_one_line(data):
     done = adapter(raw(data))
     assert done.returncode == 2
     assert done.stderr.count(b"\n") == 1 and done.stderr.startswith(b"mintmast: ")
 
 
-def test_adapter_tells_of_an_instance_that_does_not_run():
+def test_adapter_reports_an_event_for_an_instance_that_does_not_run():
     body = raw("0438 00000003 0e6f2b19")
     done = adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1
 
 
-def test_adapter_tells_of_a_class_that_is_not_in_the_settings():
+def test_adapter_reports_a_class_that_is_not_in_the_settings():
     text = json.dumps(SETTINGS).encode()
     body = struct.pack(">HIQI", 1010, 3, 9, len(text)) + text + raw(EVENTS[0][0])[:-1] + b"\x07"
     done = adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("family", [{"lowestRung": [5]}, {"scaleByClass": [0]}, {"levelKb": []}])
-def test_settings_that_make_no_sense(family):
+def test_invalid_settings_are_rejected(family):
     told = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], **family}}
     with pytest.raises(wire.WireError):
         wire.parse_settings(json.dumps(told).encode())
