--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -80,7 +80,7 @@
                     gateway.ask(now + self.draw.randrange(10 * MS))
 
     def worst(self):
-        """Return the largest excess of a window over its bound, N + 2 * sqrt(N) + 2; 0 or less if it holds."""
+        """Return the largest excess over the bound N + 2 * sqrt(N) + 2 of a window; 0 or less if it holds."""
         times = sorted(self.sends)
         over = []
         for place, begin in enumerate(times):
