--- a/mintmast/loop/base.py
+++ b/mintmast/loop/base.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 
-class Close(Enum):
+class CloseReason(Enum):
     """The reason why a stream was closed."""
 
     EOF = "eof"  # the peer finished and this side had nothing left to send
@@ -27,15 +27,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class StreamLimits:
     """Limits of one stream, in bytes."""
 
-    unsent: int = 1 << 20  # send buffer; the stream is closed beyond it
-    resume: int = 1 << 16  # after `write` returned False, `drained` is called at or below this
-    chunk: int = 1 << 16  # maximum of one read
+    max_unsent: int = 1 << 20  # send buffer; the stream is closed beyond it
+    drained_below: int = 1 << 16  # after `write` returned False, `drained` is called at or below this
+    read_size: int = 1 << 16  # maximum of one read
 
 
-DEFAULT = Limits()
+DEFAULT_LIMITS = StreamLimits()
 
 
 class Handler:
@@ -53,14 +53,14 @@
     def drained(self) -> None:
         """Continue writing: the backlog has shrunk."""
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Handle the end of the stream; called once, and no callback follows."""
 
 
 class Stream(Protocol):
     """A connection. `handed_over` counts the bytes that were passed to the network."""
 
-    handed_over: int
+    bytes_sent: int
     peer: tuple[str, int]
 
     def write(self, data: bytes) -> bool:
@@ -72,7 +72,7 @@
     def resume(self) -> None:
         """Continue reading."""
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Return whether bytes from the peer, or its end of stream, have not been read yet."""
 
     def close(self) -> None:
@@ -127,30 +127,37 @@
         """Call `do(*args)` in the next iteration of the loop."""
 
     def listen(
-        self, host: str, port: int, accept: Callable[[], Handler], backlog: int = 512, limits: Limits = ...
+        self,
+        host: str,
+        port: int,
+        accept: Callable[[], Handler],
+        backlog: int = 512,
+        limits: StreamLimits = ...,
     ) -> Listener:
         """Accept connections; `accept` returns the handler for each. Raises OSError."""
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = ...) -> Stream:
+    def connect(self, host: str, port: int, handler: Handler, limits: StreamLimits = ...) -> Stream:
         """Start connecting; `opened` or `closed` of `handler` is called, never before this returns."""
 
-    def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> Datagrams:
+    def open_datagrams(
+        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+    ) -> Datagrams:
         """Open a datagram socket; `take` is called with each datagram and its sender. Raises OSError."""
 
 
 class Timer:
     """A scheduled callback; `cancel` may be called at any time."""
 
-    __slots__ = ("args", "do", "when")
+    __slots__ = ("args", "callback", "when")
 
-    def __init__(self, when: int, do: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def __init__(self, when: int, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.when = when
-        self.do: Callable[..., Any] | None = do
+        self.callback: Callable[..., Any] | None = callback
         self.args = args
 
     def cancel(self) -> None:
         """Cancel the callback."""
-        self.do, self.args = None, ()
+        self.callback, self.args = None, ()
 
 
 class Timers:
@@ -169,7 +176,7 @@
 
     def next(self) -> int | None:
         """Return the time of the first timer that is not cancelled."""
-        while self._heap and self._heap[0][2].do is None:
+        while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
--- a/mintmast/telemetry/lines.py
+++ b/mintmast/telemetry/lines.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-Say = Callable[..., None]
+LogFunction = Callable[..., None]
 # lines per second; further ones are only counted, so that many faulty peers cannot flood the log
-MOST_LINES = 200
+MAX_LINES_PER_SECOND = 200
 
 
 def open_log(path: str) -> IO[str]:
@@ -21,7 +21,9 @@
     return sys.stdout if path == "-" else open(path, "a", buffering=1, encoding="utf-8")
 
 
-def line_writer(sink: IO[str], wall: Callable[[], float], most: int = 0, **bound: Any) -> Say:
+def make_log_function(
+    sink: IO[str], wall: Callable[[], float], max_per_second: int = 0, **bound: Any
+) -> LogFunction:
     """Return a function that writes a JSON line of the bound fields, its own fields, the event and the time.
 
     `most` limits the lines per second, 0 is no limit. The next line has the number of lines that were
@@ -33,7 +35,7 @@
     def say(event: str, **fields: Any) -> None:
         nonlocal second, written, left_out
         now = wall()
-        if most and int(now) == second and written >= most:
+        if max_per_second and int(now) == second and written >= max_per_second:
             left_out += 1
             return
         if int(now) != second:
