--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -27,7 +27,7 @@
 from mintmast.decisions.sessions.book import SessionBook
 from mintmast.gateway import Gateway
 from mintmast.hosts.protocol import LOAD, event, load_header
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
 from mintmast.lab.drills import FREE, Day, settings
 from mintmast.lab.stage import ACCESS, SESSION, Stage
--- a/mintmast/configuring.py
+++ b/mintmast/configuring.py
@@ -22,34 +22,34 @@
 from mintmast.core import Core
 from mintmast.decide import Controller
 from mintmast.decisions.gateways.history import MAX_PATCH_BYTES, History
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.decisions.gateways.revision_types import (
-    PullRevisions,
+    ActiveRevision,
     Command,
     Delta,
     Event,
-    RevisionId,
-    RevisionAnnounced,
-    ActiveRevision,
-    WriteRevision,
-    WriteFinished,
+    LogEvent,
     OrderAnswered,
     Publish,
-    LogEvent,
+    PullRevisions,
+    RevisionAnnounced,
+    RevisionId,
+    ScheduleTimer,
     Stored,
     TakeOver,
     TimerFired,
-    ScheduleTimer,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.fronts.dash import DashFront
 from mintmast.fronts.tokens import TokenError
 from mintmast.http.server import Exchange
 from mintmast.loop import Loop
 from mintmast.loop.real import SelectorLoop
-from mintmast.peers import PeerTransport, MembershipTransport, parse_address
+from mintmast.peers import MembershipTransport, PeerTransport, parse_address
 from mintmast.sources.fixed import FixedList
 from mintmast.store.configuration import FileError, FileHere, FileLine, encoded, load
 
--- a/mintmast/decisions/sessions/setups.py
+++ b/mintmast/decisions/sessions/setups.py
@@ -6,9 +6,9 @@
 
 from mintmast.decisions.messages import CancelSetUp, SendSetUp, SetUpEnded
 from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence, OutcomeRow, may_have_run
-from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.sessions import Action, Session, Signal
+from mintmast.decisions.sessions.terminations import Terminations
 
 # what must be done before a session leaves, with the reading of its host's clock; `then(now, good)` lets it
 RecordBeforeSetUp = Callable[[int, Session, int, Callable[[int, bool], None]], None]
--- a/mintmast/lab/mutant.py
+++ b/mintmast/lab/mutant.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from mintmast.decisions.gateways import members, records
-from mintmast.decisions.gateways.member_status import Liveness, MemberStatus, MemberState
+from mintmast.decisions.gateways.member_status import Liveness, MemberState, MemberStatus
 from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence, OutcomeRow
 from mintmast.decisions.sessions import recovery
 from mintmast.interface import Outcome
--- a/mintmast/store/line.py
+++ b/mintmast/store/line.py
@@ -11,16 +11,16 @@
 import msgspec
 
 from mintmast.decisions.gateways.records import (
-    StoredRecord,
     RecordKind,
+    RecordsWritten,
     RecoveredState,
+    StoredRecord,
     WriteRecords,
-    RecordsWritten,
     encode_record,
     next_generation,
     recover_state,
 )
-from mintmast.loop.base import CloseReason, Handler, StreamLimits, Stream
+from mintmast.loop.base import CloseReason, Handler, Stream, StreamLimits
 from mintmast.loop.real import SelectorLoop
 from mintmast.store.engine import StoreError
 from mintmast.store.frames import Frames, framed
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from test_node_process import check_health, write_config, free_port, wait_for_event
+from test_node_process import check_health, free_port, wait_for_event, write_config
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
--- a/tests/test_revision_gossip.py
+++ b/tests/test_revision_gossip.py
@@ -5,38 +5,38 @@
 import pytest
 
 from mintmast.decisions.gateways import pulls, revision_gossip
+from mintmast.decisions.gateways.gossip_messages import (
+    GossipKind,
+    GossipMessage,
+    GossipWithDigest,
+    GossipWithRevision,
+    revision_summary_of,
+)
 from mintmast.decisions.gateways.history import History
 from mintmast.decisions.gateways.members import Members
+from mintmast.decisions.gateways.membership_types import GossipReceived, SendGossip
+from mintmast.decisions.gateways.revision_gossip import (
+    ANNOUNCEMENTS,
+    MAX_DELTA_BYTES,
+    REANNOUNCE_US,
+    RESEND_US,
+    RevisionGossip,
+)
 from mintmast.decisions.gateways.revision_types import (
-    PullRevisions,
     Delta,
-    RevisionId,
-    RevisionAnnounced,
-    WriteRevision,
-    WriteFinished,
-    Publish,
     LogEvent,
+    Publish,
+    PullRevisions,
+    RevisionAnnounced,
+    RevisionId,
     Stored,
     TakeOver,
     TimerFired,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.membership_types import GossipReceived, SendGossip
-from mintmast.decisions.gateways.revision_gossip import (
-    RESEND_US,
-    REANNOUNCE_US,
-    ANNOUNCEMENTS,
-    MAX_DELTA_BYTES,
-    RevisionGossip,
-)
-from mintmast.decisions.gateways.gossip_messages import (
-    GossipWithRevision,
-    GossipKind,
-    GossipWithDigest,
-    GossipMessage,
-    revision_summary_of,
-)
 from mintmast.lab.revisionwalk import BEGUN, fleet, head
 from mintmast.lab.spread import Spread, check
 from mintmast.loop.memory import World
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,19 +18,19 @@
 
 from mintmast.cli import main
 from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.claim_messages import Vote
 from mintmast.decisions.gateways.claims import Claims
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.records import (
     Grant,
     Intent,
-    StoredRecord,
     RecordKind,
-    WriteRecords,
     RecordsWritten,
+    StoredRecord,
+    WriteRecords,
     next_generation,
     recover_state,
 )
-from mintmast.decisions.gateways.member_status import Liveness
-from mintmast.decisions.gateways.claim_messages import Vote
 from mintmast.lab import drills
 from mintmast.lab.drills.day import Day, model
 from mintmast.lab.drills.day import settings as day_settings
