--- a/mintmast/decide.py
+++ b/mintmast/decide.py
@@ -27,9 +27,8 @@
 # share of fleet capacity assumed usable when this gateway has sessions on no server and on every server:
 # reports about servers without own sessions are sparse or old, so less of their capacity can be relied on
 FILL_WITHOUT_SESSIONS, FILL_WITH_SESSIONS = 0.75, 1.0
-MIN_AVERAGED_USE = (
-    0.1  # minimum use in the harmonic mean: a server with a report carries at least one session
-)
+# minimum use in the harmonic mean: a server with a report carries at least one session
+MIN_AVERAGED_USE = 0.1
 UNLIMITED_KB = 1e12  # kB/s; capacity of a link or uplink whose rate is not configured
 # relative sizes above the first value or below its inverse, and reported uses above the second, are invalid
 MAX_RELATIVE_SIZE, MAX_REPORTED_USE = 1000.0, 20.0
@@ -49,17 +48,14 @@
 # after a FULL reply, one slot.
 EJECTION_US, MAX_EJECTION_US, FULL_BACKOFF_US = 2 * SECOND, 16 * SECOND, SECOND
 STEP_DOWN_BELOW = 0.96  # delivered share below which rungs are stepped down; a smaller shortfall costs less
-STEP_DOWN_TARGET = (
-    0.8  # share of delivered rate that remaining rungs may use: rates vary, set-ups are under way
-)
+STEP_DOWN_TARGET = 0.8  # share of delivered rate that rungs may use: rates vary, set-ups are under way
 STEP_DOWN_DELAY_US = (
     2 * SECOND
-)  # µs, added to the age of reports, before the same server is stepped down again
-# µs in which the weight of a reported use decays to the fleet's average: about the length of a session
+)  # µs, added to the age of reports, until the same server is stepped down again
+# µs until a reported use has decayed to the fleet's average: about the length of a session
 NOTE_LIFETIME_US = 30 * SECOND
-RUNG_REVIEW_DELAY_US = (
-    6 * SECOND
-)  # µs after a cut before the rung is reviewed, so that reports show its effect
+# µs after a cut until the rung is reviewed, so that reports show its effect
+RUNG_REVIEW_DELAY_US = 6 * SECOND
 BUSY_LINK_USE = 0.9  # reported use below which a link is not the cause of short delivery
 # An uplink's estimated rate falls by the first factor times the missing share, for each server that reports
 # one. It rises by the second at a link report while its use is above the third and delivery has not been
@@ -76,28 +72,28 @@
 class _CapacityAccount:
     """Estimate the load of a link or an uplink: its reported use plus this gateway's changes since then."""
 
-    __slots__ = ("at", "charges", "limit_kb", "uplink_short_at", "last_short_report", "use")
+    __slots__ = ("reported_at", "charges", "limit_kb", "uplink_short_at", "last_short_report", "use")
 
-    def __init__(self, limit: float) -> None:
-        self.limit_kb = limit
+    def __init__(self, limit_kb: float) -> None:
+        self.limit_kb = limit_kb
         self.use: float | None = None
-        self.at = -1
+        self.reported_at = -1
         # (time, server) of the last short delivery, and of the last one attributed to this uplink
         self.last_short_report = self.uplink_short_at = (0, b"")
         self.charges: deque[tuple[int, int, float]] = deque()  # (time, last slot, kB/s)
 
-    def charge(self, now: int, ends: int, kb: float) -> None:
-        """Add `kb` (negative: release) to the slots from now to that of `ends`; drop past charges."""
+    def charge(self, now: int, ends_at: int, kb: float) -> None:
+        """Add `kb` (negative: release) to the slots from now to that of `ends_at`; drop past charges."""
         while self.charges and self.charges[0][1] < now // SLOT_US:
             self.charges.popleft()
-        self.charges.append((now, ends // SLOT_US, kb))
+        self.charges.append((now, ends_at // SLOT_US, kb))
 
-    def record_use(self, seen: int, use: float) -> None:
-        """Record the use measured at `seen`, which includes all charges made until then."""
-        if seen < self.at:
+    def record_use(self, measured_at: int, use: float) -> None:
+        """Record the use measured at `measured_at`, which includes all charges made until then."""
+        if measured_at < self.reported_at:
             return
-        self.use, self.at = use, seen
-        while self.charges and self.charges[0][0] <= seen:
+        self.use, self.reported_at = use, measured_at
+        while self.charges and self.charges[0][0] <= measured_at:
             self.charges.popleft()
 
     def charged_kb(self, now: int) -> float:
@@ -111,13 +107,13 @@
         return sum(kb for _, last, kb in self.charges if last >= slot)
 
     def demand_kb(self, now: int, default_use: float) -> float:
-        """Return the demand in the fullest slot in kB/s; `unheard` is the use assumed without a report.
+        """Return the demand in the fullest slot in kB/s; `default_use` is used without a report.
 
         An old report decays towards that use: no new ones arrive from a server where this gateway has no
         sessions left, and a server once reported as full would stay excluded for good.
         """
-        fresh = self.report_weight(now)
-        use = fresh * self.use + (1 - fresh) * default_use if fresh else default_use
+        weight = self.report_weight(now)
+        use = weight * self.use + (1 - weight) * default_use if weight else default_use
         return max(0.0, use * self.limit_kb + (self.charged_kb(now) if self.charges else 0.0))
 
     def known_demand_kb(self, now: int, default_use: float) -> float:
@@ -126,7 +122,7 @@
 
     def report_weight(self, now: int) -> float:
         """Return the weight of the last report, from 1 when new to 0 when expired."""
-        return 0.0 if self.use is None else max(0.0, 1 - (now - self.at) / NOTE_LIFETIME_US)
+        return 0.0 if self.use is None else max(0.0, 1 - (now - self.reported_at) / NOTE_LIFETIME_US)
 
 
 @dataclass(slots=True)
@@ -154,13 +150,13 @@
     """A request and, once it plays, its session."""
 
     request: int
-    kind: int  # index of its service class
+    class_index: int  # index of its service class
     service: api.ServiceClass
     title: int
     best_rung: int
     deadline: int = 0
-    length: int = 0
-    home: int = 0
+    expected_length: int = 0
+    home_cell: int = 0
     copies: int = 0
     server: bytes | None = None  # where its attempt is pending or it plays
     rung: int = 0
@@ -234,8 +230,8 @@
             # Retry after a delay, so that waiting gateways do not flood a list service that is down.
             self.actions.append(api.SetTimer(SECOND, 0))
             return
-        new = event.kind is not ListKind.DELTA
-        if new:
+        needs_index = event.kind is not ListKind.DELTA
+        if needs_index:
             listed = {entry.server for entry in event.entries}
             for server in self.servers.values():
                 if server.entry.server not in listed:
@@ -244,13 +240,13 @@
             server = self.servers.get(entry.server)
             if server is None:
                 server = self.servers[entry.server] = _Server(entry, _CapacityAccount(1.0))
-                new = True
+                needs_index = True
             elif entry.started > server.entry.started:  # new process: the state of the old one is void
-                server.link.use, server.link.at = None, -1
+                server.link.use, server.link.reported_at = None, -1
                 server.failures = server.ejected_until = 0
-            new = new or entry.cell != server.entry.cell
+            needs_index = needs_index or entry.cell != server.entry.cell
             server.entry = entry
-        if self._remove_gone_servers(now) or new:
+        if self._remove_gone_servers(now) or needs_index:
             self._index_servers()
 
     def _remove_gone_servers(self, now: int) -> bool:
@@ -271,20 +267,24 @@
         """Index servers by cell and set link rates: by weight if configured, else by streams of the kind."""
         s = self.settings
         self.by_cell = {}
-        ready = [each for each in self.servers.values() if each.entry.state is not ServerState.GONE]
-        mean = sum(self._stream_count(each) for each in ready) / max(1, len(ready))
+        listed = [each for each in self.servers.values() if each.entry.state is not ServerState.GONE]
+        mean_streams = sum(self._stream_count(each) for each in listed) / max(1, len(listed))
         for server in self.servers.values():
             self.by_cell.setdefault(server.entry.cell, []).append(server)
             server.rack = server.entry.cell % s.racks
             size = (
-                server.entry.weight if s.has_weights else self._stream_count(server) / mean if mean else 1.0
+                server.entry.weight
+                if s.has_weights
+                else self._stream_count(server) / mean_streams
+                if mean_streams
+                else 1.0
             )
-            told = s.weight_kb or s.links_kb / max(1, len(ready)) or UNLIMITED_KB
-            server.link.limit_kb = told * min(MAX_RELATIVE_SIZE, max(1 / MAX_RELATIVE_SIZE, size))
+            mean_link_kb = s.weight_kb or s.links_kb / max(1, len(listed)) or UNLIMITED_KB
+            server.link.limit_kb = mean_link_kb * min(MAX_RELATIVE_SIZE, max(1 / MAX_RELATIVE_SIZE, size))
 
     def _stream_count(self, server: _Server) -> int:
-        told, kind = self.settings.kind_streams, server.entry.kind
-        return told[kind] if kind < len(told) else min(told, default=0)
+        stream_counts, kind = self.settings.kind_streams, server.entry.kind
+        return stream_counts[kind] if kind < len(stream_counts) else min(stream_counts, default=0)
 
     # Requests and attempts
 
@@ -292,10 +292,10 @@
         service = self.settings.classes[event.service]
         if self.settings.budget and not event.moved:
             self.request_times.append(now)
-        best = min(event.best_rung, service.top, len(self.settings.rung_kb) - 1)
-        session = _Session(event.request, event.service, service, event.title, best, now + event.budget)
-        session.length = event.length_hint or DEFAULT_LENGTH_US
-        session.home, session.copies, session.is_move = event.home_cell, event.copies, event.moved
+        best_rung = min(event.best_rung, service.top, len(self.settings.rung_kb) - 1)
+        session = _Session(event.request, event.service, service, event.title, best_rung, now + event.budget)
+        session.expected_length = event.length_hint or DEFAULT_LENGTH_US
+        session.home_cell, session.copies, session.is_move = event.home_cell, event.copies, event.moved
         self.sessions[event.request] = session
         self._place(now, session)
 
@@ -315,7 +315,7 @@
         if not session.attempts:
             self._change_seats(session, 1)
         session.rung, session.rate_kb = rung, self._rate_kb(session, rung)
-        session.server, session.ends_at = server.entry.server, now + session.length
+        session.server, session.ends_at = server.entry.server, now + session.expected_length
         session.rung_is_provisional, session.rung_set_at = rung < session.best_rung, now
         session.attempts += 1
         session.tried_servers.append(session.server)
@@ -340,8 +340,8 @@
         if session.error_replies < 2:
             self.unserved.append((now, session))
         s = self.settings
-        advice = min(RETRY_AFTER_US, s.max_retry_after) if s.may_advise else 0
-        self.actions.append(api.Refuse(session.request, advice))
+        retry_after = min(RETRY_AFTER_US, s.max_retry_after) if s.may_advise else 0
+        self.actions.append(api.Refuse(session.request, retry_after))
 
     def _handle_attempt_end(self, now: int, event: api.AttemptEnd) -> None:
         self._record_load(now, event.server, event.load)
@@ -367,8 +367,8 @@
             if session.is_playing and event.outcome is Outcome.RESET:
                 self.unserved.append((now, session))
             return
-        bound = session.may_have_run and session.service.effect is not Effect.FREE
-        if bound or event.outcome is Outcome.NOT_SENT:
+        must_not_repeat = session.may_have_run and session.service.effect is not Effect.FREE
+        if must_not_repeat or event.outcome is Outcome.NOT_SENT:
             self._end_request(now, session)
         else:
             self._place(now, session)
@@ -422,27 +422,27 @@
         ordered = []
         for server in holders:
             link, rack = self._free_capacity(now, server, self.mean_use, self.uplink_demand)
-            order = link / server.link.limit_kb + rack / self.uplinks[server.rack].limit_kb
+            preference = link / server.link.limit_kb + rack / self.uplinks[server.rack].limit_kb
             if server.entry.zone == self.settings.zone:
-                order += CAPACITY_PER_COST * self.settings.cross_zone_cost
+                preference += CAPACITY_PER_COST * self.settings.cross_zone_cost
             if self._has_connection(now, server):
-                order += CAPACITY_PER_COST * self.settings.handshake_cost
-            key = (self._is_ejected(now, server, session), -order, self.random.random())
+                preference += CAPACITY_PER_COST * self.settings.handshake_cost
+            key = (self._is_ejected(now, server, session), -preference, self.random.random())
             ordered.append((key, server, min(link, rack)))
         ordered.sort(key=lambda each: each[0])
         floor = session.service.floor
         for rung in range(self._highest_affordable_rung(now, session), floor, -1):
             kb = self._rate_kb(session, rung)
-            for _, server, room in ordered:
-                if not self.has_reports or kb <= room:
+            for _, server, free_kb in ordered:
+                if not self.has_reports or kb <= free_kb:
                     return server, rung
         # Averages may lower the rung, but only reports may refuse a request. With few reports, averages of a
         # handful of servers would show whole racks as full and refuse viewers next to idle servers.
         # Drawback: in an overload without reports, links fill with sessions at the floor rung.
         for _, server, _ in ordered:
-            unheard = 0.0 if server.link.use is None else self.mean_use
-            room = min(self._free_capacity(now, server, unheard, self.known_uplink_demand))
-            if not self.has_reports or self._rate_kb(session, floor) <= room:
+            default_use = 0.0 if server.link.use is None else self.mean_use
+            free_kb = min(self._free_capacity(now, server, default_use, self.known_uplink_demand))
+            if not self.has_reports or self._rate_kb(session, floor) <= free_kb:
                 return server, floor
         return None
 
@@ -459,15 +459,17 @@
         """Return holders that can accept a set-up, a random few if there are many."""
         cells, copies = self.settings.cells, session.copies
         if cells and copies < cells:
-            where = [(session.home + step) % cells for step in range(copies)]
-            held = [server for cell in where for server in self.by_cell.get(cell, ())]
+            holder_cells = [(session.home_cell + step) % cells for step in range(copies)]
+            holders = [server for cell in holder_cells for server in self.by_cell.get(cell, ())]
         else:
-            held = list(self.servers.values())
-        self.holder_share = len(held) / max(1, len(self.servers))
+            holders = list(self.servers.values())
+        self.holder_share = len(holders) / max(1, len(self.servers))
         found: list[_Server] = []
-        near = [each for each in held if self._has_connection(now, each)]
+        connected = [each for each in holders if self._has_connection(now, each)]
         pools = (
-            (near, self.random.sample(held, HOLDER_SAMPLE), held) if len(held) > HOLDER_SAMPLE else (held,)
+            (connected, self.random.sample(holders, HOLDER_SAMPLE), holders)
+            if len(holders) > HOLDER_SAMPLE
+            else (holders,)
         )
         for pool in pools:
             found = [
@@ -478,10 +480,10 @@
                 and now >= each.full_until
                 and self._slow_start_allows(now, each)
             ]
-            well = [each for each in found if not self._is_ejected(now, each, session)]
-            if len(well) >= MAX_CANDIDATES:
-                some = self.random.sample(well, len(well) if near else MAX_CANDIDATES)
-                return sorted(some, key=lambda each: not self._has_connection(now, each))[:MAX_CANDIDATES]
+            healthy = [each for each in found if not self._is_ejected(now, each, session)]
+            if len(healthy) >= MAX_CANDIDATES:
+                chosen = self.random.sample(healthy, len(healthy) if connected else MAX_CANDIDATES)
+                return sorted(chosen, key=lambda each: not self._has_connection(now, each))[:MAX_CANDIDATES]
         return found
 
     def _has_connection(self, now: int, server: _Server) -> bool:
@@ -503,38 +505,44 @@
         self.totals_at = now
         # Draining servers do not count: their sessions leave, and their replacements are already counted.
         listed = [each for each in self.servers.values() if each.entry.state is ServerState.READY]
-        heard = [each.link for each in self.servers.values() if each.link.use is not None]
-        self.has_reports = bool(heard)
+        reported = [each.link for each in self.servers.values() if each.link.use is not None]
+        self.has_reports = bool(reported)
         # Reports arrive only from servers where own sessions play. If titles are on few servers, these are
         # mostly busy ones: if servers were sampled in proportion to use, the harmonic mean would estimate
         # the mean of all; because the least loaded holders are chosen, the estimate lies half way. If every
         # server holds every title, this gateway chose the servers itself, and the arithmetic mean is right.
-        weights = [pipe.report_weight(now) + 0.01 for pipe in heard]
-        uses = [min(1.0, pipe.use) for pipe in heard]
+        weights = [link.report_weight(now) + 0.01 for link in reported]
+        uses = [min(1.0, link.use) for link in reported]
         total = sum(weights) or 1.0
-        plain = sum(use * weight for use, weight in zip(uses, weights, strict=True)) / total
+        arithmetic = sum(use * weight for use, weight in zip(uses, weights, strict=True)) / total
         inverse = (
             sum(weight / max(MIN_AVERAGED_USE, use) for use, weight in zip(uses, weights, strict=True))
             / total
         )
-        part = (1 - self.holder_share) / 2
-        self.mean_use = plain * (1 - part) + part / inverse if heard else 0.0
+        harmonic_weight = (1 - self.holder_share) / 2
+        self.mean_use = arithmetic * (1 - harmonic_weight) + harmonic_weight / inverse if reported else 0.0
         racks = len(self.uplinks)
-        self.uplink_demand, self.known_uplink_demand, links = [0.0] * racks, [0.0] * racks, [0.0] * racks
+        self.uplink_demand, self.known_uplink_demand, link_capacity = (
+            [0.0] * racks,
+            [0.0] * racks,
+            [0.0] * racks,
+        )
         for each in listed:  # a link never carries more than its rate, whatever the demand
             link = each.link
             self.uplink_demand[each.rack] += min(link.demand_kb(now, self.mean_use), link.limit_kb)
             self.known_uplink_demand[each.rack] += min(
                 link.known_demand_kb(now, self.mean_use), link.limit_kb
             )
-            links[each.rack] += link.limit_kb * self._warmth(now, each)
-        for rack, pipe in enumerate(self.uplinks):
-            if pipe.use is not None:
-                self.uplink_demand[rack] = self.known_uplink_demand[rack] = pipe.demand_kb(now, self.mean_use)
-        own = sum(1 for each in listed if each.sessions) / max(1, len(listed))
-        fill = FILL_WITHOUT_SESSIONS + (FILL_WITH_SESSIONS - FILL_WITHOUT_SESSIONS) * own
-        self.fleet_capacity_kb = fill * sum(
-            min(link, pipe.limit_kb) for link, pipe in zip(links, self.uplinks, strict=True)
+            link_capacity[each.rack] += link.limit_kb * self._warmth(now, each)
+        for rack, uplink in enumerate(self.uplinks):
+            if uplink.use is not None:
+                self.uplink_demand[rack] = self.known_uplink_demand[rack] = uplink.demand_kb(
+                    now, self.mean_use
+                )
+        own_share = sum(1 for each in listed if each.sessions) / max(1, len(listed))
+        usable_share = FILL_WITHOUT_SESSIONS + (FILL_WITH_SESSIONS - FILL_WITHOUT_SESSIONS) * own_share
+        self.fleet_capacity_kb = usable_share * sum(
+            min(link, uplink.limit_kb) for link, uplink in zip(link_capacity, self.uplinks, strict=True)
         )
 
     def _highest_affordable_rung(self, now: int, session: _Session) -> int:
@@ -550,8 +558,8 @@
             self.price = self._compute_price(now, session)
         rung = session.service.floor
         for upper, density in self._ladder_steps(session):
-            level, part = self.price
-            if density < level or (density == level and self.random.random() >= part):
+            price, fitting_share = self.price
+            if density < price or (density == price and self.random.random() >= fitting_share):
                 break
             rung = upper
         return rung
@@ -560,33 +568,33 @@
         """Return the worth per kB of the marginal step and the share of such steps that still fits."""
         while self.unserved and self.unserved[0][0] < now - UNSERVED_DEMAND_US:
             self.unserved.popleft()
-        mine = [each for each in self.sessions.values() if each.server is not None]
+        placed = [each for each in self.sessions.values() if each.server is not None]
         # The requester counts at the middle rung: a gateway that has just started has no sessions to derive
         # its share from, and in an overload it would grant the top rung to every request.
-        own = sum(each.rate_kb for each in mine)
+        own_kb = sum(each.rate_kb for each in placed)
         if requester.server is None:
-            mine.append(requester)
-            own += self._rate_kb(requester, min(requester.best_rung, len(self.settings.rung_kb) // 2))
-        need = sum(self.uplink_demand)
-        if need <= 0:
+            placed.append(requester)
+            own_kb += self._rate_kb(requester, min(requester.best_rung, len(self.settings.rung_kb) // 2))
+        demand_kb = sum(self.uplink_demand)
+        if demand_kb <= 0:
             return 0.0, 1.0
-        left = (
-            own * self.fleet_capacity_kb / need
+        capacity_kb = (
+            own_kb * self.fleet_capacity_kb / demand_kb
             if self.has_reports
             else self.fleet_capacity_kb / self.settings.instances
         )
         steps: dict[float, float] = {}
-        for each in [*mine, *(session for _, session in self.unserved)]:
+        for each in [*placed, *(session for _, session in self.unserved)]:
             below = self._rate_kb(each, each.service.floor)
-            left -= below
+            capacity_kb -= below
             for upper, density in self._ladder_steps(each):
                 kb = self._rate_kb(each, upper)
                 steps[density] = steps.get(density, 0.0) + kb - below
                 below = kb
         for density in sorted(steps, reverse=True):
-            if steps[density] > left:
-                return density, max(0.0, left / steps[density])
-            left -= steps[density]
+            if steps[density] > capacity_kb:
+                return density, max(0.0, capacity_kb / steps[density])
+            capacity_kb -= steps[density]
         return 0.0, 1.0
 
     def _ladder_steps(self, session: _Session) -> list[tuple[int, float]]:
@@ -596,14 +604,19 @@
         """
         worth, service = self.settings.rung_worth, session.service
         steps: list[tuple[int, float]] = []
-        at, top = service.floor, min(service.top, len(worth) - 1, session.best_rung)
-        while at < top:
-            start = self._rate_kb(session, at)
-            density, at = max(
-                (service.worth * (worth[up] - worth[at]) / max(1e-9, self._rate_kb(session, up) - start), up)
-                for up in range(at + 1, top + 1)
+        rung, top = service.floor, min(service.top, len(worth) - 1, session.best_rung)
+        while rung < top:
+            rate_kb = self._rate_kb(session, rung)
+            density, rung = max(
+                (
+                    service.worth
+                    * (worth[up] - worth[rung])
+                    / max(1e-9, self._rate_kb(session, up) - rate_kb),
+                    up,
+                )
+                for up in range(rung + 1, top + 1)
             )
-            steps.append((at, density))
+            steps.append((rung, density))
         return steps
 
     def _rate_kb(self, session: _Session, rung: int) -> float:
@@ -619,7 +632,7 @@
 
     def _change_seats(self, session: _Session, by: int) -> None:
         if session.service.seats > 0:
-            key = (session.kind, session.title)
+            key = (session.class_index, session.title)
             self.seats[key] = self.seats.get(key, 0) + by
             if not self.seats[key]:
                 del self.seats[key]
@@ -630,7 +643,9 @@
         if session.best_rung < service.floor or session.attempts >= s.max_attempts:
             return False
         if not session.attempts:
-            return not service.seats or self.seats.get((session.kind, session.title), 0) < service.seats
+            return (
+                not service.seats or self.seats.get((session.class_index, session.title), 0) < service.seats
+            )
         if s.budget:
             for times in (self.retry_times, self.request_times):
                 while times and times[0] <= now - s.budget.span:
@@ -642,10 +657,10 @@
         """Return the latest time at which the server may have started, as far as this gateway knows."""
         # Sessions handed over at the start show a planned takeover, not a crash: the list is then as good as
         # the predecessor's and shows which servers started recently.
-        start = server.entry.started if self.is_planned_start else max(server.entry.started, self.started)
+        latest = server.entry.started if self.is_planned_start else max(server.entry.started, self.started)
         if server.restart_suspected_at > server.entry.started:
-            start = max(start, server.answered_at if server.answered_at is not None else now)
-        return start
+            latest = max(latest, server.answered_at if server.answered_at is not None else now)
+        return latest
 
     def _warmth(self, now: int, server: _Server) -> float:
         return self._warmth_at_age(now - server.entry.started) if server.entry.started else 1.0
@@ -670,23 +685,22 @@
         Drawback: if the whole fleet restarts at once, cold servers stay idle for that time.
         """
         s = self.settings
-        reach, start = s.overload_window + s.connect_time, server.entry.started
-        while server.set_up_times and server.set_up_times[0] <= now - reach:
+        period, start = s.overload_window + s.connect_time, server.entry.started
+        while server.set_up_times and server.set_up_times[0] <= now - period:
             server.set_up_times.popleft()
         age = now - self._latest_start(server, now)
         if age >= s.warm_up:
             return True
         if start and now - start < s.warm_up:
-            overlap = (
-                PROCESS_OVERLAP_US if self.is_planned_start else 0
-            )  # after a crash there is no previous process left
-            if start < self.started + overlap and now - self.started < reach + overlap:
+            # after a crash there is no previous process left
+            overlap = PROCESS_OVERLAP_US if self.is_planned_start else 0
+            if start < self.started + overlap and now - self.started < period + overlap:
                 return False
-        warmth = self._warmth_at_age(age - reach)  # at the start of the window
+        warmth = self._warmth_at_age(age - period)  # at the start of the window
         budget = s.overload_factor * self._stream_count(server) / s.warm_up * warmth * s.overload_window
-        last = sum(1 for at in server.set_up_times if at > now - s.overload_window)
-        both = self._budget_share(server, budget + 2 * math.sqrt(budget))
-        return last < self._budget_share(server, budget) and len(server.set_up_times) < both
+        in_window = sum(1 for at in server.set_up_times if at > now - s.overload_window)
+        period_share = self._budget_share(server, budget + 2 * math.sqrt(budget))
+        return in_window < self._budget_share(server, budget) and len(server.set_up_times) < period_share
 
     def _budget_share(self, server: _Server, budget: float) -> int:
         """Return this gateway's share of the whole set-ups in a server's budget."""
@@ -753,11 +767,11 @@
         if event.kind is NoteKind.DELIVERED:
             self._handle_short_delivery(now, server, event.value)
             return
-        first = session is not None and session.is_playing and not session.has_own_report
-        seen = now if first else now - self.settings.note_age
+        is_first = session is not None and session.is_playing and not session.has_own_report
+        measured_at = now if is_first else now - self.settings.note_age
         uplink = self.uplinks[server.rack]
         if event.kind is NoteKind.LINK:
-            server.link.record_use(seen, event.value)
+            server.link.record_use(measured_at, event.value)
             if uplink.use is None and now - uplink.uplink_short_at[0] > UPLINK_STEADY_US:
                 if self.uplink_demand[server.rack] > uplink.limit_kb * BUSY_UPLINK_USE:
                     uplink.limit_kb = min(
@@ -765,7 +779,7 @@
                     )
             self._review_rungs(now, server)
         else:
-            uplink.record_use(seen, event.value)
+            uplink.record_use(measured_at, event.value)
         if session is not None and (event.kind is NoteKind.UPLINK or "x1" not in self.settings.load_fields):
             session.has_own_report = True  # the reports made at set-up are recorded; later ones are delayed
 
@@ -773,10 +787,10 @@
         server = self.servers.get(server_id)
         if server is None:
             return
-        pipes = {"x0": server.link, "x1": self.uplinks[server.rack]}
+        accounts = {"x0": server.link, "x1": self.uplinks[server.rack]}
         for name, value in zip(self.settings.load_fields, load, strict=False):
-            if name in pipes and 0 <= value <= MAX_REPORTED_USE:
-                pipes[name].record_use(now - self.settings.note_age, value)
+            if name in accounts and 0 <= value <= MAX_REPORTED_USE:
+                accounts[name].record_use(now - self.settings.note_age, value)
 
     def _record_rung(self, now: int, session: _Session, rung: int) -> None:
         """Record a session's new rung and charge the difference in rate."""
@@ -795,27 +809,29 @@
         sessions have in the use: sessions with the highest worth first, the last step at random.
         Drawback: if many viewers are about to arrive, the capacity is already taken.
         """
-        waiting = [
+        provisional = [
             e for e in server.sessions.values() if e.rung_is_provisional and e.is_playing and not e.is_settled
         ]
-        waiting = [e for e in waiting if now - e.rung_set_at >= RUNG_REVIEW_DELAY_US]
-        if not waiting:
+        provisional = [e for e in provisional if now - e.rung_set_at >= RUNG_REVIEW_DELAY_US]
+        if not provisional:
             return
         self._refresh_totals(now)
-        link = (
+        link_growth = (
             server.link.limit_kb
             * self._warmth(now, server)
             / max(1.0, server.link.demand_kb(now, self.mean_use))
         )
         growth = MAX_UTILISATION * min(
-            link, self.uplinks[server.rack].limit_kb / max(1.0, self.uplink_demand[server.rack])
+            link_growth, self.uplinks[server.rack].limit_kb / max(1.0, self.uplink_demand[server.rack])
         )
-        room = (growth - 1) * sum(each.rate_kb for each in server.sessions.values() if each.is_playing)
-        for session in sorted(waiting, key=lambda e: (-e.service.worth, e.request)):
+        free_kb = (growth - 1) * sum(each.rate_kb for each in server.sessions.values() if each.is_playing)
+        for session in sorted(provisional, key=lambda e: (-e.service.worth, e.request)):
             for rung in range(self._highest_affordable_rung(now, session), session.rung, -1):
-                more = self._rate_kb(session, rung) - session.rate_kb
-                if more <= room or (rung == session.rung + 1 and self.random.random() * more < room):
-                    room -= more
+                extra_kb = self._rate_kb(session, rung) - session.rate_kb
+                if extra_kb <= free_kb or (
+                    rung == session.rung + 1 and self.random.random() * extra_kb < free_kb
+                ):
+                    free_kb -= extra_kb
                     session.rung_is_provisional = False
                     self._record_rung(now, session, rung)
                     self.actions.append(api.SetRung(session.request, rung))
@@ -835,18 +851,18 @@
         if share < DEAD_BELOW_SHARE:  # its sessions get no data: equivalent to a failed set-up
             server.failures, server.ejected_until = max(1, server.failures), now + EJECTION_US
         uplink = self.uplinks[server.rack]
-        last, by = uplink.last_short_report
+        last_at, last_server = uplink.last_short_report
         uplink.last_short_report = now, server.entry.server
-        others = by != server.entry.server and now - last < STEP_DOWN_DELAY_US
+        another_is_short = last_server != server.entry.server and now - last_at < STEP_DOWN_DELAY_US
         if (
-            others
+            another_is_short
             and DEAD_BELOW_SHARE <= share
             and uplink.use is None
             and (server.link.use or 1.0) < BUSY_LINK_USE
         ):
             # Uplinks differ from their configured rate. Without uplink reports, the only sign is short
             # delivery on a link with free capacity. Drawback: the link's report may be old.
-            uplink.uplink_short_at = now, by
+            uplink.uplink_short_at = now, last_server
             uplink.limit_kb = max(
                 uplink.limit_kb * (1 - UPLINK_DECREASE * (1 - share)), s.uplink_kb * MIN_UPLINK_FACTOR
             )
@@ -857,24 +873,24 @@
             return
         server.stepped_down_at = now
         playing = [each for each in server.sessions.values() if each.is_playing and not each.is_settled]
-        excess = sum(each.rate_kb for each in playing) * (1 - share * STEP_DOWN_TARGET)
+        excess_kb = sum(each.rate_kb for each in playing) * (1 - share * STEP_DOWN_TARGET)
         steps = []
         for session in playing:
-            below = session.service.floor
+            lower = session.service.floor
             for upper, density in self._ladder_steps(session):
                 if upper <= session.rung:
-                    steps.append((density, session.request, below, session))
-                below = upper
+                    steps.append((density, session.request, lower, session))
+                lower = upper
         steps.sort(key=lambda each: each[:2])
         changed: dict[int, _Session] = {}
-        for _, _, below, session in steps:
-            saved = session.rate_kb - self._rate_kb(session, below)
+        for _, _, lower, session in steps:
+            saved_kb = session.rate_kb - self._rate_kb(session, lower)
             # A step that saves more than the excess is taken at random: if many gateways have one session
             # each here and all stepped down for a missing tenth, half of the link would stay idle.
-            if excess <= 0 or self.random.random() * saved >= excess:
+            if excess_kb <= 0 or self.random.random() * saved_kb >= excess_kb:
                 break
-            excess -= saved
-            self._record_rung(now, session, below)
+            excess_kb -= saved_kb
+            self._record_rung(now, session, lower)
             session.rung_is_provisional, session.rung_set_at = True, now
             changed[session.request] = session
         self.actions += [api.SetRung(session.request, session.rung) for session in changed.values()]
--- a/mintmast/http/client.py
+++ b/mintmast/http/client.py
@@ -1,8 +1,8 @@
 """HTTP client with connection pooling: one call at a time per connection, each with exactly one result.
 
-A failed call reports how far it got (`Fault`), because a caller that pays for the call must know whether the
-server may have received it. A connection closed by the peer while idle is removed from the pool. Calls are
-never retried here.
+A failed call reports how far it got (`CallFailure`), because a caller that pays for the call must know
+whether the server may have received it. A connection closed by the peer while idle is removed from the pool.
+Calls are never retried here.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A pending call; `done` is called once with its result."""
+    """A pending call; `on_done` is called once with its result."""
 
     address: Address
     data: bytes
@@ -89,13 +89,13 @@
         """Cancel the call: break its connection and report the result before returning."""
         self.fail(CallFailure.CALLED_OFF if self.was_sent else CallFailure.CALLED_OFF_UNSENT)
 
-    def fail(self, fault: CallFailure) -> None:
+    def fail(self, failure: CallFailure) -> None:
         """End the call with a failure and break its connection."""
         if not self.is_finished:
             connection = self.connection
             if connection is not None:
                 connection.call = None
-            self.finish(fault)
+            self.finish(failure)
             if connection is not None:
                 connection.abort()
 
@@ -135,7 +135,7 @@
             call.timers.append(self.loop.call_at(deadline, self._fail_at_deadline, call))
         idle = self._idle.get(address)
         if idle:
-            idle.pop().take(call)
+            idle.pop().start_call(call)
         else:
             connection = _Connection(self, call)
             call.connection = connection
@@ -193,7 +193,7 @@
         self._body_size = self._received_bytes = 0
         self._is_complete = self._keep_alive = False
 
-    def take(self, call: Call) -> None:
+    def start_call(self, call: Call) -> None:
         """Send a further call on this connection."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
--- a/mintmast/http/events.py
+++ b/mintmast/http/events.py
@@ -17,7 +17,7 @@
     def __init__(
         self, on_event: Callable[[str, dict[str, Any]], None], max_bytes: int = MAX_EVENT_BYTES
     ) -> None:
-        self._take, self._max_bytes = on_event, max_bytes
+        self._on_event, self._max_bytes = on_event, max_bytes
         self._partial_line = b""
         self._kind = ""
         self._data: list[str] = []
@@ -58,5 +58,5 @@
             return False
         if not isinstance(fields, dict):
             return False
-        self._take(kind or "message", fields)
+        self._on_event(kind or "message", fields)
         return True
--- a/mintmast/http/server.py
+++ b/mintmast/http/server.py
@@ -92,7 +92,7 @@
         self.respond(status, [("Content-Type", "application/problem+json"), *(headers or [])], body)
 
     def start_stream(self, status: int, headers: Headers) -> None:
-        """Start a chunked response of unknown length; `send` and `finish` follow."""
+        """Start a chunked response of unknown length; `send_chunk` and `finish_stream` follow."""
         self.is_streaming = True
         self._output.append(self._format_head(status, headers, None))
         self.connection.flush()
@@ -244,8 +244,8 @@
         key = name.decode("latin-1").lower()
         if key == "host" and key in self._headers:  # RFC 9112, 3.2
             raise _BadRequestError(400, "more than one Host field")
-        told = value.decode("latin-1")
-        self._headers[key] = f"{self._headers[key]}, {told}" if key in self._headers else told
+        text = value.decode("latin-1")
+        self._headers[key] = f"{self._headers[key]}, {text}" if key in self._headers else text
 
     def on_headers_complete(self) -> None:
         length = self._headers.get("content-length", "0")
--- a/mintmast/loop/base.py
+++ b/mintmast/loop/base.py
@@ -31,7 +31,7 @@
     """Limits of one stream, in bytes."""
 
     max_unsent: int = 1 << 20  # send buffer; the stream is closed beyond it
-    drained_below: int = 1 << 16  # after `write` returned False, `drained` is called at or below this
+    drained_below: int = 1 << 16  # `drained` is called at or below this, after `write` returned False
     read_size: int = 1 << 16  # maximum of one read
 
 
@@ -58,7 +58,7 @@
 
 
 class Stream(Protocol):
-    """A connection. `handed_over` counts the bytes that were passed to the network."""
+    """A connection. `bytes_sent` counts the bytes that were passed to the network."""
 
     bytes_sent: int
     peer: tuple[str, int]
@@ -120,11 +120,11 @@
     def wall(self) -> float:
         """Return this machine's wall clock in seconds since 1970."""
 
-    def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when`, or in the next iteration if that is past."""
+    def call_at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` at `when`, or in the next iteration if that is past."""
 
-    def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` in the next iteration of the loop."""
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` in the next iteration of the loop."""
 
     def listen(
         self,
@@ -140,9 +140,9 @@
         """Start connecting; `opened` or `closed` of `handler` is called, never before this returns."""
 
     def open_datagrams(
-        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+        self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]
     ) -> Datagrams:
-        """Open a datagram socket; `take` is called with each datagram and its sender. Raises OSError."""
+        """Open a datagram socket; `on_datagram` gets each datagram and its sender. Raises OSError."""
 
 
 class Timer:
@@ -168,9 +168,9 @@
         self._count = itertools.count()
         self._dead = 0
 
-    def add(self, when: int, do: Callable[..., Any], args: tuple[Any, ...]) -> Timer:
+    def add(self, when: int, callback: Callable[..., Any], args: tuple[Any, ...]) -> Timer:
         """Add a timer."""
-        timer = Timer(when, do, args)
+        timer = Timer(when, callback, args)
         heapq.heappush(self._heap, (when, next(self._count), timer))
         return timer
 
--- a/mintmast/loop/memory.py
+++ b/mintmast/loop/memory.py
@@ -1,4 +1,4 @@
-"""A simulated network with a virtual clock: runs are reproducible from the seed and take no real time.
+"""A simulated network with a virtual clock: runs are reproducible from the seed and on_datagram no real time.
 
 Every machine is a `Node`, which is a `Loop` of its own; the `World` holds the clock. Bytes are delivered in
 order after a random delay; nodes may be killed, and paths may be delayed or cut.
@@ -22,8 +22,8 @@
 class PathConditions:
     """Faults of one direction between two machines; rates are shares of all datagrams or of all writes.
 
-    `cut`: nothing arrives and TCP retransmits. `swallows`: TCP connections open and stay open, but no data
-    arrives. `late`: additional delay in µs. `short`: half of a write arrives, then the connection breaks.
+    `is_cut`: nothing arrives and TCP retransmits. `is_black_hole`: TCP connections open and stay open, but
+    no data arrives. `extra_delay` is in µs. `truncation`: half of a write arrives, then the stream breaks.
     """
 
     is_cut: bool = False
@@ -62,26 +62,28 @@
         node = self.nodes[name] = Node(self, name, old.skew if old else 0.0)
         return node
 
-    def at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
+    def at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
         """Call at a time of the virtual clock, whether or not any node is alive then."""
-        return self._timers.add(max(when, self.time), do, args)
+        return self._timers.add(max(when, self.time), callback, args)
 
     def run(self, until: int) -> None:
         """Run all callbacks up to the time `until`."""
-        while (due := self._timers.next()) is not None and due <= until:
-            timer = self._timers.pop(due)
+        while (next_at := self._timers.next()) is not None and next_at <= until:
+            timer = self._timers.pop(next_at)
             if timer is not None and timer.callback is not None:
-                self.time = max(self.time, due)
+                self.time = max(self.time, next_at)
                 timer.callback(*timer.args)
         self.time = max(self.time, until)
 
     def draw_delay(self, source: str, target: str) -> int | None:
         """Draw the delay of one transmission in µs; return None if the path is cut."""
-        way = self.conditions_between(source, target)
-        if (source, target) in self.cut_paths or way.is_cut:
+        conditions = self.conditions_between(source, target)
+        if (source, target) in self.cut_paths or conditions.is_cut:
             return None
         return (
-            self.random.randint(*self.latency) + self.extra_delays.get((source, target), 0) + way.extra_delay
+            self.random.randint(*self.latency)
+            + self.extra_delays.get((source, target), 0)
+            + conditions.extra_delay
         )
 
     def conditions_between(self, source: str, target: str) -> PathConditions:
@@ -92,9 +94,9 @@
         """Reset all connections between two nodes."""
         for name, peer in ((one, other), (other, one)):
             node = self.nodes.get(name)
-            for end in list(node._streams) if node is not None else ():
-                if end.other is not None and end.other.node.name == peer:
-                    node.run_callback(end.end, CloseReason.RESET)
+            for endpoint in list(node._streams) if node is not None else ():
+                if endpoint.other is not None and endpoint.other.node.name == peer:
+                    node.run_callback(endpoint.end, CloseReason.RESET)
 
 
 class Node:
@@ -118,28 +120,28 @@
         """Return the wall clock in seconds since 1970, including this node's skew."""
         return EPOCH_S + self.world.time / 1e6 + self.skew
 
-    def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when` if the node is still alive."""
-        timer = Timer(when, do, args)
+    def call_at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` at `when` if the node is still alive."""
+        timer = Timer(when, callback, args)
         self.world.at(when, self._run_timer, timer)
         return timer
 
-    def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` after the current callback."""
-        return self.call_at(self.world.time, do, *args)
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` after the current callback."""
+        return self.call_at(self.world.time, callback, *args)
 
     def _run_timer(self, timer: Timer) -> None:
         if timer.callback is not None:
             self.run_callback(timer.callback, *timer.args)
 
-    def run_callback(self, what: Callable[..., Any], *args: Any) -> None:
+    def run_callback(self, callback: Callable[..., Any], *args: Any) -> None:
         """Run a callback of this node now, defer it while the node is frozen, or drop it after `kill`."""
         if not self.alive:
             return
         if self.frozen_calls is not None:
-            self.frozen_calls.append((what, args))
+            self.frozen_calls.append((callback, args))
             return
-        what(*args)
+        callback(*args)
 
     def freeze(self) -> None:
         """Suspend the node; callbacks are deferred."""
@@ -149,14 +151,14 @@
     def thaw(self) -> None:
         """Resume the node and run all deferred callbacks at once."""
         waiting, self.frozen_calls = self.frozen_calls or [], None
-        for what, args in waiting:
-            self.run_callback(what, *args)
+        for callback, args in waiting:
+            self.run_callback(callback, *args)
 
     def kill(self) -> None:
         """Stop without warning; the peers' connections are reset."""
         self.alive = False
-        for end in list(self._streams):
-            end.break_off()
+        for endpoint in list(self._streams):
+            endpoint.break_off()
         self._listeners.clear()
         self._ports.clear()
         self._streams.clear()
@@ -192,12 +194,12 @@
         return ours
 
     def open_datagrams(
-        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+        self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]
     ) -> _DatagramSocket:
         """Open a datagram socket; the host is always this node."""
         if port in self._ports:
             raise OSError(f"datagram port {port} of {self.name} is already in use")
-        bound = self._ports[port] = _DatagramSocket(self, port, take)
+        bound = self._ports[port] = _DatagramSocket(self, port, on_datagram)
         return bound
 
     def _accept_connection(self, ours: _Endpoint, host: str, port: int, back: int) -> None:
@@ -227,18 +229,18 @@
 class _DatagramSocket:
     """A datagram socket of a node."""
 
-    def __init__(self, node: Node, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> None:
-        self.node, self.port, self._take = node, port, take
+    def __init__(self, node: Node, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]) -> None:
+        self.node, self.port, self._take = node, port, on_datagram
 
     def send(self, data: bytes, to: tuple[str, int]) -> None:
         world = self.node.world
-        way = world.conditions_between(self.node.name, to[0])
-        if way.is_black_hole:
+        conditions = world.conditions_between(self.node.name, to[0])
+        if conditions.is_black_hole:
             return
-        lost, doubled = max(world.loss, way.loss), max(world.duplication, way.duplication)
-        for _ in range(1 + (world.random.random() < doubled)):
+        loss, duplication = max(world.loss, conditions.loss), max(world.duplication, conditions.duplication)
+        for _ in range(1 + (world.random.random() < duplication)):
             delay = world.draw_delay(self.node.name, to[0])
-            if delay is not None and world.random.random() >= lost:
+            if delay is not None and world.random.random() >= loss:
                 world.at(world.time + delay, self._arrive, bytes(data), to)
 
     def _arrive(self, data: bytes, to: tuple[str, int]) -> None:
@@ -294,52 +296,54 @@
         self.bytes_sent += len(data)
         self._send(bytes(data))
 
-    def _send(self, what: bytes | CloseReason) -> None:
+    def _send(self, payload: bytes | CloseReason) -> None:
         other = self.other
         if other is None:
             return
         world = self.node.world
-        way = world.conditions_between(self.node.name, other.node.name)
-        if way.is_black_hole:
+        conditions = world.conditions_between(self.node.name, other.node.name)
+        if conditions.is_black_hole:
             return
         delay = world.draw_delay(self.node.name, other.node.name)
         if (
-            way.truncation
-            and isinstance(what, bytes)
+            conditions.truncation
+            and isinstance(payload, bytes)
             and delay is not None
-            and world.random.random() < way.truncation
+            and world.random.random() < conditions.truncation
         ):
             self._last_arrival = max(self._last_arrival, world.time + delay)
-            world.at(self._last_arrival, other.node.run_callback, other.arrive, what[: len(what) // 2], self)
+            world.at(
+                self._last_arrival, other.node.run_callback, other.arrive, payload[: len(payload) // 2], self
+            )
             world.at(self._last_arrival, other.node.run_callback, other.end, CloseReason.RESET)
             self.node.call_soon(self.end, CloseReason.RESET)
             return
         if delay is None:  # cut path: retransmit like TCP until the path is restored
-            world.at(world.time + 50_000, self._send, what)
+            world.at(world.time + 50_000, self._send, payload)
             return
         self._last_arrival = max(self._last_arrival, world.time + delay)
-        world.at(self._last_arrival, other.node.run_callback, other.arrive, what, self)
+        world.at(self._last_arrival, other.node.run_callback, other.arrive, payload, self)
 
-    def arrive(self, what: bytes | CloseReason, sender: _Endpoint) -> None:
+    def arrive(self, payload: bytes | CloseReason, sender: _Endpoint) -> None:
         if self.is_closed:
             return
-        if what is CloseReason.RESET:
+        if payload is CloseReason.RESET:
             self.end(CloseReason.RESET)
             return
-        self._inbox.append(what)
+        self._inbox.append(payload)
         self._read()
 
     def _read(self) -> None:
         while self._inbox and not self._paused and not self.is_closed and self.is_open:
-            what = self._inbox.popleft()
-            if isinstance(what, CloseReason):
+            payload = self._inbox.popleft()
+            if isinstance(payload, CloseReason):
                 self.handler.finished()
                 if not self._closing:
                     self.end(CloseReason.EOF)
                 return
             if self.other is not None:
-                self.other._record_read(len(what))
-            self.handler.received(what)
+                self.other._record_read(len(payload))
+            self.handler.received(payload)
 
     def _record_read(self, size: int) -> None:
         self._in_flight -= size
--- a/mintmast/loop/real.py
+++ b/mintmast/loop/real.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from mintmast.loop.base import DEFAULT_LIMITS, Handler, StreamLimits, Timer, Timers
-from mintmast.loop.sockets import SocketListener, DatagramSocket, SocketStream, connect_failure_reason
+from mintmast.loop.sockets import DatagramSocket, SocketListener, SocketStream, connect_failure_reason
 
 _IN_PROGRESS = {errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EAGAIN}
 # Thresholds of the cyclic garbage collector, as for `gc.set_threshold`. Reference counting frees the loop's
@@ -51,7 +51,7 @@
         self.longest_turn = 0  # µs
         self.turns = 0
         self.on_turn: Callable[[int], None] | None = None
-        # called with the duration of an iteration, or the overrun of a wait, that exceeds `STILL` (µs)
+        # called with the duration of an iteration or the overrun of a wait if above `STALL_THRESHOLD_US`
         self.on_stall: Callable[[int], None] | None = None
         self._wakeup: tuple[int, int] | None = None
         self.wall_shift = 0.0  # s; for tests of machines with a wrong clock
@@ -64,13 +64,13 @@
         """Return the wall clock in seconds since 1970."""
         return time.time() + self.wall_shift
 
-    def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when`."""
-        return self._timers.add(when, do, args)
+    def call_at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` at `when`."""
+        return self._timers.add(when, callback, args)
 
-    def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` in the next iteration."""
-        return self._timers.add(0, do, args)
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` in the next iteration."""
+        return self._timers.add(0, callback, args)
 
     def listen(
         self,
@@ -113,23 +113,23 @@
         return stream
 
     def open_datagrams(
-        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+        self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]
     ) -> DatagramSocket:
         """Open a datagram socket on an address. Raises OSError."""
-        return DatagramSocket(self, host, port, take)
+        return DatagramSocket(self, host, port, on_datagram)
 
     def stop(self) -> None:
         """End `run` after this iteration."""
         self._stopping = True
 
-    def on_signal(self, do: Callable[[], Any], *signals: signal.Signals) -> None:
-        """Call `do` in the loop's next iteration when one of these signals arrives."""
+    def on_signal(self, callback: Callable[[], Any], *signals: signal.Signals) -> None:
+        """Call `callback` in the loop's next iteration when one of these signals arrives."""
         if self._wakeup is None:
             ours, theirs = self._wakeup = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
             signal.set_wakeup_fd(theirs)
             self._selector.register(ours, selectors.EVENT_READ, lambda mask: os.read(ours, 64))
         for each in signals:
-            signal.signal(each, lambda *_: self.call_soon(do))
+            signal.signal(each, lambda *_: self.call_soon(callback))
 
     def run(self, until: int | None = None) -> None:
         """Run iterations until `stop`, or until the clock reads `until`."""
@@ -160,13 +160,13 @@
         if self.on_stall is not None and max(late, took) > STALL_THRESHOLD_US:
             self.on_stall(max(late, took))
 
-    def call_safely(self, do: Callable[..., Any], *args: Any) -> None:
+    def call_safely(self, callback: Callable[..., Any], *args: Any) -> None:
         """Run a callback and report any exception to `on_error`."""
         try:
-            do(*args)
+            callback(*args)
         except Exception:  # noqa: BLE001 - the loop must outlive any callback
             self._on_error(traceback.format_exc())
-            owner = getattr(do, "__self__", None)
+            owner = getattr(callback, "__self__", None)
             if isinstance(owner, SocketStream):
                 owner.abort()
 
--- a/mintmast/loop/sockets.py
+++ b/mintmast/loop/sockets.py
@@ -106,9 +106,9 @@
     """A datagram socket."""
 
     def __init__(
-        self, loop: SelectorLoop, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+        self, loop: SelectorLoop, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]
     ) -> None:
-        self._loop, self._take = loop, take
+        self._loop, self._take = loop, on_datagram
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
--- a/mintmast/telemetry/lines.py
+++ b/mintmast/telemetry/lines.py
@@ -26,13 +26,13 @@
 ) -> LogFunction:
     """Return a function that writes a JSON line of the bound fields, its own fields, the event and the time.
 
-    `most` limits the lines per second, 0 is no limit. The next line has the number of lines that were
+    `max_per_second` limits the lines, 0 is no limit. The next line has the number of lines that were
     dropped in `left_out`, including those that could not be written.
     """
     encoder = msgspec.json.Encoder(enc_hook=str)
     second = written = left_out = 0
 
-    def say(event: str, **fields: Any) -> None:
+    def log(event: str, **fields: Any) -> None:
         nonlocal second, written, left_out
         now = wall()
         if max_per_second and int(now) == second and written >= max_per_second:
@@ -50,4 +50,4 @@
         except OSError:  # a log that cannot be written must not fail the operation that logs
             left_out += 1
 
-    return say
+    return log
--- a/mintmast/wire.py
+++ b/mintmast/wire.py
@@ -252,7 +252,7 @@
     return _TEXT.pack(1040, i, len(text)) + text
 
 
-def _pack_memo(i: int, action: api.SendToPeers) -> bytes:
+def _pack_peer_message(i: int, action: api.SendToPeers) -> bytes:
     dest = ALL_PEERS if action.peer is None else action.peer
     return _MEMO.pack(1110, i, dest, len(action.payload)) + action.payload
 
@@ -267,7 +267,7 @@
     api.SetTimer: lambda i, a: _THREE.pack(1030, i, a.delay, a.token),
     api.Probe: lambda i, a: _HOST.pack(1130, i, a.server),
     api.CloseIdle: lambda i, a: _HOST.pack(1000, i, a.server),
-    api.SendToPeers: _pack_memo,
+    api.SendToPeers: _pack_peer_message,
     api.Subscribe: lambda i, a: _SUBSCRIBE.pack(1080, i, a.on),
     api.FetchList: lambda i, a: _CODE.pack(1060) + _INSTANCE.pack(i),
     api.Log: _pack_log,
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -7,11 +7,11 @@
 from helpers import (
     T0,
     S,
-    server_entry,
+    action_names,
     attempt_end,
     make_controller,
-    action_names,
     request,
+    server_entry,
     set_ups,
     settings,
 )
@@ -36,35 +36,35 @@
 @given(STEPS, st.sampled_from([2, 9, 60]))
 def test_all_gateways_together_keep_the_slow_start_budget(steps, gateways):
     """One server starts cold; gateways get requests, restart, stall, and have only a cached list."""
-    start, now, times = T0, T0, []
+    start, now, sends = T0, T0, []
     listed = (server_entry(0, started=start),)
 
-    def birth(me):
+    def start_gateway(me):
         controller = Controller(settings(instance=me, instances=gateways, cells=1), me)
         controller.handle(now, api.Started())
         controller.handle(now, api.ServerList(api.ListKind.CACHED, 1, listed))
         return controller
 
-    fleet_of = [birth(me) for me in range(gateways)]
+    controllers = [start_gateway(me) for me in range(gateways)]
     for ref, (who, what) in enumerate(steps):
         me = who % gateways
         if what == "restart":
-            fleet_of[me] = birth(me)
+            controllers[me] = start_gateway(me)
         elif what in ("wait", "stall"):
             now += S // 20 if what == "wait" else S
         asked = range(10) if what == "stall" else range(1)  # after a stall, all queued requests at once
         for n in asked:
-            actions = fleet_of[me].handle(now, request(ref * 100 + n, best=0, copies=1))
+            actions = controllers[me].handle(now, request(ref * 100 + n, best=0, copies=1))
             assert len(set_ups(actions)) + action_names(actions).count("Refuse") == 1
-            times += [(now, me)] * len(set_ups(actions))
+            sends += [(now, me)] * len(set_ups(actions))
     restarts = [what for _, what in steps].count("restart")
-    for first, _ in times:
+    for first, _ in sends:
         age = first + FALL - start
         if age < COLD:
             budget = 2.5 * STREAMS / 12 * (FALL / S) * (0.4 + 0.6 * age / COLD)
             # a gateway that restarts has lost its record of sent set-ups and may use its share once more
             part = -(-int(budget) // gateways)
-            inside = sum(1 for t, _ in times if first <= t < first + FALL)
+            inside = sum(1 for t, _ in sends if first <= t < first + FALL)
             assert inside <= budget + restarts * part
 
 
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -1,6 +1,6 @@
 """State of ended servers and sessions is removed, and servers are not blamed for faulty requests."""
 
-from helpers import T0, S, server_entry, attempt_end, make_controller, action_names, request, set_ups
+from helpers import T0, S, action_names, attempt_end, make_controller, request, server_entry, set_ups
 
 from mintmast import interface as api
 from mintmast.interface import Outcome, ServerState
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import HttpServer, ServerLimits
 from mintmast.loop import CloseReason, Handler, StreamLimits
 from mintmast.loop.memory import World
@@ -13,7 +13,7 @@
 SECOND = 1_000_000
 
 
-class Net:
+class Network:
     """A server and a client loop on the real network or in memory, with a common way to advance time."""
 
     def __init__(self, kind):
@@ -24,9 +24,9 @@
             self.world = World(1)
             self.server, self.client, self.host = self.world.node("s"), self.world.node("c"), "s"
 
-    def until(self, done, most=5):
-        """Run until `done()` is true; fail after `most` seconds of the loop's clock."""
-        end = self.client.now() + most * SECOND
+    def run_until(self, done, timeout_s=5):
+        """Run until `done()` is true; fail after `timeout_s` seconds of the loop's clock."""
+        end = self.client.now() + timeout_s * SECOND
         while not done():
             assert self.client.now() < end, "condition was not met in time"
             if hasattr(self, "world"):
@@ -37,10 +37,10 @@
 
 @pytest.fixture(params=["real", "memory"])
 def net(request):
-    return Net(request.param)
+    return Network(request.param)
 
 
-class Raw(Handler):
+class RawClient(Handler):
     """A client that writes raw bytes and keeps all bytes received."""
 
     def __init__(self, loop, host, port):
@@ -58,15 +58,15 @@
 
 
 def test_pipelined_requests_are_answered_in_their_order(net):
-    held = []
-    server = HttpServer(net.server, net.host, 0, held.append)
-    raw = Raw(net.client, net.host, server.port)
-    net.until(lambda: raw.stream)
+    exchanges = []
+    server = HttpServer(net.server, net.host, 0, exchanges.append)
+    raw = RawClient(net.client, net.host, server.port)
+    net.run_until(lambda: raw.stream)
     raw.stream.write(b"".join(b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % n for n in range(3)))
-    net.until(lambda: len(held) == 3)
+    net.run_until(lambda: len(exchanges) == 3)
     for place in (2, 0, 1):
-        held[place].respond(200, [], b"answer %d;" % place)
-    net.until(lambda: raw.data.count(b"answer") == 3)
+        exchanges[place].respond(200, [], b"answer %d;" % place)
+    net.run_until(lambda: raw.data.count(b"answer") == 3)
     assert [raw.data.index(b"answer %d" % n) for n in range(3)] == sorted(
         raw.data.index(b"answer %d" % n) for n in range(3)
     )
@@ -93,10 +93,10 @@
 def test_malformed_large_and_slow_requests_get_an_error_status_and_a_close(net, data, status):
     limits = ServerLimits(header_time=SECOND // 5, body_bytes=1000)
     server = HttpServer(net.server, net.host, 0, lambda each: each.respond(200), limits)
-    raw = Raw(net.client, net.host, server.port)
-    net.until(lambda: raw.stream)
+    raw = RawClient(net.client, net.host, server.port)
+    net.run_until(lambda: raw.stream)
     raw.stream.write(data)
-    net.until(lambda: raw.reason)
+    net.run_until(lambda: raw.reason)
     assert raw.data.startswith(b"HTTP/1.1 " + status)
 
 
@@ -104,27 +104,27 @@
     seen = []
     server = HttpServer(net.server, net.host, 0, lambda each: (seen.append(each.body), each.respond(200)))
     request = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
-    raw = Raw(net.client, net.host, server.port)
-    net.until(lambda: raw.stream)
+    raw = RawClient(net.client, net.host, server.port)
+    net.run_until(lambda: raw.stream)
     for byte in request:
         raw.stream.write(bytes([byte]))
-        net.until(lambda: True)
-    net.until(lambda: raw.data)
+        net.run_until(lambda: True)
+    net.run_until(lambda: raw.data)
     assert seen == [b"hello"]
 
 
 def test_connections_over_the_limit_are_closed_and_others_continue(net):
     server = HttpServer(net.server, net.host, 0, lambda each: each.respond(200), ServerLimits(connections=2))
-    raws = [Raw(net.client, net.host, server.port) for _ in range(3)]
-    net.until(lambda: sum(raw.reason is not None for raw in raws) == 1)
+    raws = [RawClient(net.client, net.host, server.port) for _ in range(3)]
+    net.run_until(lambda: sum(raw.reason is not None for raw in raws) == 1)
     alive = next(raw for raw in raws if raw.reason is None)
     alive.stream.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    net.until(lambda: alive.data)
+    net.run_until(lambda: alive.data)
 
 
 def test_each_failure_of_a_call_reports_how_far_it_got(net):
-    held = []
-    server = HttpServer(net.server, net.host, 0, held.append)
+    exchanges = []
+    server = HttpServer(net.server, net.host, 0, exchanges.append)
     client = HttpClient(net.client, ClientLimits(connect_time=SECOND // 5))
     results = {}
 
@@ -134,21 +134,24 @@
             (net.host, port), "PUT", f"/{name}", lambda r: results.setdefault(name, r), [], b"x", deadline
         )
 
-    port = HttpServer(net.server, net.host, 0, held.append)
+    port = HttpServer(net.server, net.host, 0, exchanges.append)
     port.close()
     call("refused", port.port)
     call("abort")
     call("silent", wait=SECOND // 4)
     off = call("off")
-    net.until(lambda: len(held) == 3 and "refused" in results)
-    next(each for each in held if each.path == "/abort").abort()
+    net.run_until(lambda: len(exchanges) == 3 and "refused" in results)
+    next(each for each in exchanges if each.path == "/abort").abort()
     off.cancel()
     call("unsent").cancel()
-    net.until(lambda: len(results) == 5)
+    net.run_until(lambda: len(results) == 5)
     assert results == {
-        "refused": CallFailure.REFUSED, "abort": CallFailure.CUT, "silent": CallFailure.SILENT, "off": CallFailure.CALLED_OFF,
+        "refused": CallFailure.REFUSED,
+        "abort": CallFailure.CUT,
+        "silent": CallFailure.SILENT,
+        "off": CallFailure.CALLED_OFF,
         "unsent": CallFailure.CALLED_OFF_UNSENT,
-    }  # fmt: skip
+    }
 
 
 @pytest.mark.parametrize(
@@ -162,7 +165,7 @@
     ],
 )
 def test_a_truncated_or_oversized_reply_is_a_failure(net, reply, fault):
-    class Bad(Handler):
+    class FaultyServer(Handler):
         def opened(self, stream):
             self.stream = stream
 
@@ -170,11 +173,11 @@
             self.stream.write(reply)
             self.stream.close()
 
-    listener = net.server.listen(net.host, 0, Bad)
+    listener = net.server.listen(net.host, 0, FaultyServer)
     client = HttpClient(net.client, ClientLimits(connect_time=SECOND, body_bytes=100_000))
     results = []
     client.call((net.host, listener.port), "GET", "/", results.append, deadline=net.client.now() + SECOND)
-    net.until(lambda: results)
+    net.run_until(lambda: results)
     assert results == [fault]
 
 
@@ -184,11 +187,11 @@
     results = []
     for count in (1, 2, 3):
         client.call((net.host, server.port), "GET", "/", results.append, deadline=net.client.now() + SECOND)
-        net.until(lambda count=count: len(results) == count)
+        net.run_until(lambda count=count: len(results) == count)
     assert len(server.connections) == 1
     for _ in range(5):
         client.call((net.host, server.port), "GET", "/", results.append, deadline=net.client.now() + SECOND)
-    net.until(lambda: len(results) == 8 and len(server.connections) == 2)
+    net.run_until(lambda: len(results) == 8 and len(server.connections) == 2)
 
 
 def test_an_idle_connection_that_the_peer_closed_is_not_reused(net):
@@ -199,35 +202,35 @@
     results = []
     for count in (1, 2):
         client.call((net.host, server.port), "GET", "/", results.append, deadline=net.client.now() + SECOND)
-        net.until(lambda count=count: len(results) == count)
+        net.run_until(lambda count=count: len(results) == count)
         end = net.client.now() + SECOND // 4
-        net.until(lambda end=end: net.client.now() >= end)
+        net.run_until(lambda end=end: net.client.now() >= end)
     assert all(isinstance(each, Reply) for each in results)
 
 
 def test_a_peer_that_does_not_read_is_disconnected_at_the_limit(net):
-    class Pour(Handler):
+    class Sender(Handler):
         reason = None
 
         def opened(self, stream):
             stream._limits = stream.limits = StreamLimits(max_unsent=1 << 18)
             self.stream = stream
-            Pour.on = self
+            Sender.on = self
 
         def closed(self, reason):
-            Pour.reason = reason
+            Sender.reason = reason
 
-    listener = net.server.listen(net.host, 0, Pour)
-    raw = Raw(net.client, net.host, listener.port)
-    net.until(lambda: raw.stream and getattr(Pour, "on", None))
+    listener = net.server.listen(net.host, 0, Sender)
+    raw = RawClient(net.client, net.host, listener.port)
+    net.run_until(lambda: raw.stream and getattr(Sender, "on", None))
     raw.stream.pause()
     for _ in range(400):
-        Pour.on.stream.write(bytes(1 << 15))
-        if Pour.reason:
+        Sender.on.stream.write(bytes(1 << 15))
+        if Sender.reason:
             break
-        net.until(lambda: True)
-    net.until(lambda: Pour.reason)
-    assert Pour.reason is CloseReason.OVERFLOW
+        net.run_until(lambda: True)
+    net.run_until(lambda: Sender.reason)
+    assert Sender.reason is CloseReason.OVERFLOW
 
 
 def test_an_exception_in_a_callback_aborts_its_stream_only():
@@ -251,7 +254,7 @@
 
 
 def test_runs_in_memory_are_reproducible_from_the_seed():
-    def story(seed):
+    def run(seed):
         world, lines = World(seed), []
         server = HttpServer(world.node("s"), "s", 80, lambda each: each.respond(200, [], each.body))
         client = HttpClient(world.node("c"), ClientLimits(connect_time=SECOND))
@@ -261,7 +264,7 @@
         world.run(SECOND * 3)
         return repr(lines)
 
-    assert story(3) == story(3) != story(4)
+    assert run(3) == run(3) != run(4)
 
 
 def test_a_cut_path_blocks_connections_and_a_killed_node_resets_them():
@@ -277,7 +280,7 @@
     world.cut_paths.clear()
     client.call(("s", server.port), "GET", "/", results.append, deadline=world.time + 2 * SECOND)
     world.run(world.time + SECOND)
-    raw = Raw(client_node, "s", 80)
+    raw = RawClient(client_node, "s", 80)
     world.run(world.time + SECOND)
     server_node.kill()
     world.run(world.time + SECOND)
@@ -289,7 +292,7 @@
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     loop = SelectorLoop()
-    raw = Raw(loop, "127.0.0.1", port)
+    raw = RawClient(loop, "127.0.0.1", port)
     while raw.reason is None:
         loop.turn(loop.now() + SECOND)
     assert raw.reason is CloseReason.REFUSED
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient
 from mintmast.http.server import HttpServer
 from mintmast.lab import drills
 from mintmast.lab.audit import Findings
@@ -18,7 +18,7 @@
 from mintmast.loop.real import SelectorLoop
 
 SECOND = 1_000_000
-OWN = ("alive_not_dead", "talks_not_out", "views_agree")
+MEMBERSHIP_RULES = ("alive_not_dead", "talks_not_out", "views_agree")
 
 
 @pytest.mark.parametrize("name", [*members.CASES, "secrets", "three-of-five"])
@@ -26,7 +26,7 @@
     small = replace(drills.DRILLS[f"members-{name}"].day, rate=3.0)
     report = drills.run(f"members-{name}", 3, "memory", day=small)
     assert report["good"], report["rules"]
-    assert all(report["rules"][rule]["checked"] for rule in OWN)
+    assert all(report["rules"][rule]["checked"] for rule in MEMBERSHIP_RULES)
     # calls of a gateway with a wrong clock are rejected as old: it learns nothing and does not vote
     assert report["measures"]["vote_at_end"] == report["measures"]["live_at_end"] - (name == "clock") >= 4
 
@@ -53,7 +53,7 @@
     day = replace(drills.DRILLS["members-killed"].day, load_s=8.0, whole_s=24.0, rate=5.0)
     report = drills.run("members-killed", 2, "loopback", day=day)
     assert report["good"], report["rules"]
-    assert all(report["rules"][rule]["checked"] for rule in OWN)
+    assert all(report["rules"][rule]["checked"] for rule in MEMBERSHIP_RULES)
 
 
 def test_ports_of_different_names_are_distinct():
@@ -65,25 +65,30 @@
 # A fault of a path has the same effect for a caller on both networks
 
 
-def exchange(loops, cases):
+def call_over_paths(loops, cases):
     """Return the result of a call for each case, each with a fault of the path."""
-    told = {}
-    for name, way, (near, run, setup) in cases:
-        setup(way)
+    results = {}
+    for name, conditions, (near, run, apply) in cases:
+        apply(conditions)
         replies = []
         client = HttpClient(near, ClientLimits(connect_time=300_000))
         client.call(loops["to"], "POST", "/", replies.append, [], b"x" * 300, near.now() + 800_000)
         run(near.now() + SECOND)
-        told[name] = replies[0] if isinstance(replies[0], CallFailure) else replies[0].status
-    return told
+        results[name] = replies[0] if isinstance(replies[0], CallFailure) else replies[0].status
+    return results
 
 
-def answer(exchange_):
-    exchange_.respond(200, [], b"y" * 300)
+def answer(exchange):
+    exchange.respond(200, [], b"y" * 300)
 
 
-WAYS = {"plain": PathConditions(), "late": PathConditions(extra_delay=100_000), "cut": PathConditions(is_cut=True), "swallows": PathConditions(is_black_hole=True),
-        "short": PathConditions(truncation=1.0)}  # fmt: skip
+PATHS = {
+    "plain": PathConditions(),
+    "late": PathConditions(extra_delay=100_000),
+    "cut": PathConditions(is_cut=True),
+    "swallows": PathConditions(is_black_hole=True),
+    "short": PathConditions(truncation=1.0),
+}
 
 
 def test_path_faults_look_alike_on_both_networks():
@@ -91,7 +96,7 @@
     near, far = world.node("gw0"), world.node("gw1")
     HttpServer(far, "gw1", 80, answer)
     put = partial(world.path_conditions.__setitem__, ("gw1", "gw0"))
-    memory = exchange({"to": ("gw1", 80)}, [(n, w, (near, world.run, put)) for n, w in WAYS.items()])
+    memory = call_over_paths({"to": ("gw1", 80)}, [(n, w, (near, world.run, put)) for n, w in PATHS.items()])
 
     loop = SelectorLoop()
     address = own_address()
@@ -102,15 +107,17 @@
         links.listen(1)
         host, _, port = links.place(0, 1).rpartition(":")
         put = partial(links.ways.__setitem__, (1, 0))
-        cases = [(n, w, (loop, loop.run, put)) for n, w in WAYS.items()]
-        real = exchange({"to": (host, int(port))}, cases)
+        cases = [(n, w, (loop, loop.run, put)) for n, w in PATHS.items()]
+        real = call_over_paths({"to": (host, int(port))}, cases)
         assert real["plain"] == real["late"] == 200 and real["cut"] is real["swallows"] is CallFailure.SILENT
         assert isinstance(real["short"], CallFailure)
-        plain = [name for name in WAYS if name != "cut"]  # over a cut path, only links open connections
+        plain = [name for name in PATHS if name != "cut"]  # over a cut path, only links open connections
         assert [real[name] for name in plain] == [memory[name] for name in plain]
         links.listen(1, False)
         put(PathConditions())
-        refused = exchange({"to": (host, int(port))}, [("dead", PathConditions(), (loop, loop.run, put))])
+        refused = call_over_paths(
+            {"to": (host, int(port))}, [("dead", PathConditions(), (loop, loop.run, put))]
+        )
         assert refused["dead"] is CallFailure.REFUSED
         server.close()
     finally:
@@ -122,34 +129,34 @@
 
 
 def view(at, name, start, **stands):
-    told = {other: (each, 1) for other, each in stands.items()}
+    states = {other: (each, 1) for other, each in stands.items()}
     own = {"gateway": name, "start": start, "before": at, "votes": True}
-    return {"what": "view", "at": at, **own, "stands": told}
+    return {"what": "view", "at": at, **own, "stands": states}
 
 
-def judged(*rows):
+def broken_rules(*rows):
     found = Findings()
     views(list(rows), found, ["a", "b", "c"])
-    return {rule for rule in OWN if found.broken.get(rule)}
+    return {rule for rule in MEMBERSHIP_RULES if found.broken.get(rule)}
 
 
 def test_wrong_views_are_detected():
     well = [view(0, name, 1, **dict.fromkeys({"a", "b", "c"} - {name}, "heard")) for name in "abc"]
     late = SETTLED + MOST + 2
-    assert judged(*well, view(late, "a", 1, b="heard", c="heard")) == set()
-    assert judged(*well, view(1, "a", 1, b="refused", c="heard")) == {"alive_not_dead"}
+    assert broken_rules(*well, view(late, "a", 1, b="heard", c="heard")) == set()
+    assert broken_rules(*well, view(1, "a", 1, b="refused", c="heard")) == {"alive_not_dead"}
     out = [view(1, "a", 1, b="confirmed", c="heard"), view(MOST + 2, "a", 1, b="confirmed", c="heard")]
-    assert judged(*well, *out) == {"talks_not_out", "views_agree"}
+    assert broken_rules(*well, *out) == {"talks_not_out", "views_agree"}
     cut = {"what": "way", "at": 0, "source": "b", "target": "a", "talks": False}
     rest = {"what": "way", "at": 0, "source": "b", "target": "c", "talks": False}
     mended = [{**each, "at": late, "talks": True} for each in (cut, rest)]
-    assert judged(*well, cut, rest, *out) - {"views_agree"} == set()
+    assert broken_rules(*well, cut, rest, *out) - {"views_agree"} == set()
     end = view(2 * late, "a", 1, b="confirmed", c="heard")
-    assert judged(*well, cut, rest, *out, *mended, end) == {"views_agree"}
+    assert broken_rules(*well, cut, rest, *out, *mended, end) == {"views_agree"}
 
 
 @pytest.mark.parametrize("fault", ["no-refutation", "lost-is-dead"])
 def test_a_drill_detects_a_gateway_without_its_safeguards(fault):
     small = replace(drills.DRILLS["members-stopped"].day, rate=3.0)
     report = drills.run("members-stopped", 2, "memory", fault, small)
-    assert any(report["rules"][rule]["broken"] for rule in OWN)
+    assert any(report["rules"][rule]["broken"] for rule in MEMBERSHIP_RULES)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,20 +4,20 @@
 from helpers import (
     T0,
     S,
-    server_entry,
+    action_names,
     attempt_end,
     make_controller,
-    action_names,
+    report_use,
     request,
+    server_entry,
     set_ups,
-    report_use,
 )
 
 from mintmast import Controller
 from mintmast import interface as api
 from mintmast.interface import Outcome, ServerState
 
-BOX = [server_entry(n).server for n in range(4)]
+SERVERS = [server_entry(n).server for n in range(4)]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
 NEVER_RAN = [Outcome.FULL, Outcome.CONNECT_FAILED]
 
@@ -67,24 +67,24 @@
     gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (server_entry(0, state),)))
     for ref in range(4):
         (set_up,) = set_ups(gateway.handle(T0, request(ref)))
-        assert set_up.server == BOX[1]
+        assert set_up.server == SERVERS[1]
     # this also holds for a retry of an earlier request
-    assert action_names(gateway.handle(T0 + 1000, attempt_end(0, BOX[1], Outcome.FULL))) == ["Refuse"]
+    assert action_names(gateway.handle(T0 + 1000, attempt_end(0, SERVERS[1], Outcome.FULL))) == ["Refuse"]
 
 
 def test_servers_missing_from_a_full_list_are_gone():
     gateway = make_controller(2)
     gateway.handle(T0, api.ServerList(api.ListKind.FULL, 2, (server_entry(1),)))
-    assert {set_ups(gateway.handle(T0, request(n)))[0].server for n in range(4)} == {BOX[1]}
+    assert {set_ups(gateway.handle(T0, request(n)))[0].server for n in range(4)} == {SERVERS[1]}
     gateway.handle(T0, api.ServerList(api.ListKind.FULL, 3, ()))
     assert action_names(gateway.handle(T0, request(9))) == ["Refuse"]
 
 
-def cold_sends(gateway, times):
+def set_up_times(gateway, times):
     return [now for ref, now in enumerate(times) if set_ups(gateway.handle(now, request(ref, best=0)))]
 
 
-def within_budget(times, start, streams=30):
+def keeps_budget(times, start, streams=30):
     """Return whether no window has more set-ups than the server can handle at the end of the window."""
     for first in times:
         warmth = 0.4 + 0.6 * min(1, max(0, first + 1_500_000 - start) / (12 * S))
@@ -102,8 +102,8 @@
     for me in range(2):
         gateway = make_controller(0, instance=me)
         gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (server_entry(0, started=T0 - S),)))
-        times += cold_sends(gateway, TIMES)
-    assert within_budget(sorted(times), T0 - S)
+        times += set_up_times(gateway, TIMES)
+    assert keeps_budget(sorted(times), T0 - S)
     assert 10 < len(times) < len(TIMES) / 3
 
 
@@ -111,7 +111,7 @@
     gateway = Controller(make_controller().settings, 1)
     gateway.handle(T0, api.Started())
     gateway.handle(T0, api.ServerList(api.ListKind.CACHED, 1, (server_entry(0),)))
-    assert within_budget(cold_sends(gateway, TIMES), T0)
+    assert keeps_budget(set_up_times(gateway, TIMES), T0)
 
 
 def test_after_a_planned_start_only_recently_started_servers_are_cold():
@@ -119,8 +119,8 @@
         gateway = Controller(make_controller().settings, 1)
         gateway.handle(T0, api.Started())
         gateway.handle(T0, api.ServerList(api.ListKind.CACHED, 1, (server_entry(0, started=listed),)))
-        gateway.handle(T0, api.SessionOpen(900, 1, 0, 77, 0, BOX[0], 90 * S))
-        assert (len(cold_sends(gateway, TIMES)) < len(TIMES) / 3) is few
+        gateway.handle(T0, api.SessionOpen(900, 1, 0, 77, 0, SERVERS[0], 90 * S))
+        assert (len(set_up_times(gateway, TIMES)) < len(TIMES) / 3) is few
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
@@ -128,7 +128,7 @@
     gateway = make_controller(1)
     (first,) = set_ups(gateway.handle(T0 - S, request(999)))
     gateway.handle(T0 - S, attempt_end(999, first.server, outcome))
-    assert within_budget(cold_sends(gateway, TIMES), T0 - S)
+    assert keeps_budget(set_up_times(gateway, TIMES), T0 - S)
 
 
 @pytest.mark.parametrize("gateways", [3, 4, 7, 150])
@@ -137,14 +137,14 @@
     for me in range(gateways):
         gateway = make_controller(0, instance=me, instances=gateways, kind_streams=(20,))
         gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (server_entry(0, started=T0 - S),)))
-        sends += cold_sends(gateway, TIMES)
-    assert within_budget(sorted(sends), T0 - S, streams=20)
+        sends += set_up_times(gateway, TIMES)
+    assert keeps_budget(sorted(sends), T0 - S, streams=20)
 
 
 def test_slow_start_ends_after_the_warm_up():
     gateway = make_controller(0)
     gateway.handle(T0, api.ServerList(api.ListKind.DELTA, 2, (server_entry(0, started=T0 - 12 * S),)))
-    assert len(cold_sends(gateway, [T0 + n for n in range(5)])) == 5
+    assert len(set_up_times(gateway, [T0 + n for n in range(5)])) == 5
 
 
 def test_seats_count_set_ups_and_are_released():
@@ -216,7 +216,7 @@
 def test_a_server_with_an_unanswered_set_up_is_tried_last():
     gateway = make_controller(2)
     (first,) = set_ups(gateway.handle(T0, request(1)))
-    (other,) = [each for each in BOX[:2] if each != first.server]
+    (other,) = [each for each in SERVERS[:2] if each != first.server]
     report_use(gateway, T0, first.server, 0.1)
     report_use(gateway, T0, other, 0.5, 9001)  # the unresponsive server looks less loaded
     later = [set_ups(gateway.handle(T0 + S // 2, request(n, best=0)))[0].server for n in range(2, 6)]
@@ -239,7 +239,7 @@
     gateway = make_controller(2)
     (first,) = set_ups(gateway.handle(T0, request(1)))
     gateway.handle(T0, api.Playing(1, 0, first.server, 1000))
-    (other,) = [each for each in BOX[:2] if each != first.server]
+    (other,) = [each for each in SERVERS[:2] if each != first.server]
     report_use(gateway, T0, first.server, 0.1)
     report_use(gateway, T0, other, 0.5, 9001)  # the server that delivers nothing looks less loaded
     gateway.handle(T0 + S, api.Note(1, first.server, api.NoteKind.DELIVERED, 0.0))
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -29,7 +29,7 @@
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
 
-class World:
+class Simulation:
     """Simulate viewers and servers, and check every action."""
 
     def __init__(self, seed):
@@ -39,10 +39,10 @@
         self.state = {server_entry(n).server: ServerState.READY for n in range(4)}
         self.requests = {}  # ref -> dict(service, title, attempts, out, playing, answered, maybe)
         self.log = []
-        self.do(api.Started())
-        self.do(api.ServerList(api.ListKind.CACHED, 1, tuple(server_entry(n) for n in range(4))))
+        self.handle(api.Started())
+        self.handle(api.ServerList(api.ListKind.CACHED, 1, tuple(server_entry(n) for n in range(4))))
 
-    def do(self, event):
+    def handle(self, event):
         actions = self.controller.handle(self.now, event)
         self.log += actions
         for action in actions:
@@ -78,14 +78,14 @@
                 "service": a % 2, "title": b % 2, "best": b % 4, "attempts": 0, "out": None,
                 "playing": False, "answered": False, "maybe": False,
             }  # fmt: skip
-            self.do(api.SessionRequest(ref, a % 2, 0, b % 2, 3 * S, b, 3, b % 4, 20 * S))
+            self.handle(api.SessionRequest(ref, a % 2, 0, b % 2, 3 * S, b, 3, b % 4, 20 * S))
             r = self.requests[ref]
             assert r["answered"] or r["out"], "request was neither sent nor answered"
         elif what == "list":
             server = server_entry(a % 4)
             state = list(ServerState)[b % 3]
             self.state[server.server] = state
-            self.do(
+            self.handle(
                 api.ServerList(api.ListKind.DELTA, 2, (server_entry(a % 4, state, self.now if b > 4 else 0),))
             )
         elif what == "wait":
@@ -94,13 +94,13 @@
             ref, r = out[a % len(out)]
             if what == "play" and not r["playing"] and not r["answered"]:
                 r["playing"] = r["maybe"] = True
-                self.do(api.Playing(ref, r["attempts"] - 1, r["out"], 1000))
+                self.handle(api.Playing(ref, r["attempts"] - 1, r["out"], 1000))
             elif what == "note":
-                self.do(
+                self.handle(
                     api.Note(ref, r["out"], list(api.NoteKind)[b % 4], value if b < 4 else abs(value) % 2)
                 )
             elif what == "gone" and not r["answered"] and not r["playing"]:
-                self.do(api.ViewerGone(ref))
+                self.handle(api.ViewerGone(ref))
                 r["answered"] = True
             elif what in ("end", "fail"):
                 ended = r["playing"] or r["answered"]
@@ -108,14 +108,14 @@
                 server, r["out"], r["playing"] = r["out"], None, False
                 r["maybe"] |= outcome not in NEVER_RAN
                 r["answered"] |= ended
-                self.do(api.AttemptEnd(ref, r["attempts"] - 1, server, outcome, 1000, ended, (value,)))
+                self.handle(api.AttemptEnd(ref, r["attempts"] - 1, server, outcome, 1000, ended, (value,)))
                 assert r["answered"] or r["out"], "failed attempt was neither retried nor answered"
 
 
 @hypothesis_settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS, st.integers(0, 3))
 def test_rules_hold_and_each_request_has_one_answer(steps, seed):
-    first, second = World(seed), World(seed)
+    first, second = Simulation(seed), Simulation(seed)
     for step in steps:
         first.step(*step)
         second.step(*step)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,88 +11,90 @@
 
 S = 1_000_000
 MS = 1000
-BORN = 100 * S  # start time of the host's process
-COLD, FALL, STREAMS, MULTIPLE, FROM = 8 * S, 1_500_000, 90, 2.5, 0.5
+HOST_START = 100 * S  # start time of the host's process
+WARM_UP, WINDOW, STREAMS, MULTIPLE, WARM_UP_FROM = 8 * S, 1_500_000, 90, 2.5, 0.5
 HOST = b"box-01"
-CONNECT = 250 * MS  # the longest that a set-up may wait for its connection
+CONNECT_TIME = 250 * MS  # the longest that a set-up may wait for its connection
 
 
-def allowed(at):
+def window_budget(at):
     """Return the set-ups that the settings allow in a window that begins at `at`."""
-    warmth = FROM + (1 - FROM) * min(1.0, max(0, at - BORN) / COLD)
-    return MULTIPLE * STREAMS / COLD * warmth * FALL
+    warmth = WARM_UP_FROM + (1 - WARM_UP_FROM) * min(1.0, max(0, at - HOST_START) / WARM_UP)
+    return MULTIPLE * STREAMS / WARM_UP * warmth * WINDOW
 
 
 class Gateway:
     """A gateway process; a restart loses all state, and the host is known once the list was received."""
 
-    def __init__(self, fleet, number, of, seed):
+    def __init__(self, fleet, number, count, seed):
         self.fleet, self.number, self.seed = fleet, number, seed
         self.settings = settings(
-            instance=number, instances=of, warm_up=COLD, warm_up_from=FROM, overload_window=FALL, overload_factor=MULTIPLE,
-            kind_streams=(STREAMS,), cells=0, links_kb=1e9, weight_kb=1e9, connect_time=CONNECT,
+            instance=number, instances=count, warm_up=WARM_UP, warm_up_from=WARM_UP_FROM,
+            overload_window=WINDOW, overload_factor=MULTIPLE, kind_streams=(STREAMS,), cells=0,
+            links_kb=1e9, weight_kb=1e9, connect_time=CONNECT_TIME,
         )  # fmt: skip
-        self.lives = 0
+        self.generation = 0
 
     def start(self, now, known=True):
-        self.lives += 1
-        self.module = Controller(self.settings, self.seed + self.lives)
-        self.module.handle(now, api.Started())
-        self.asked = 0
+        self.generation += 1
+        self.controller = Controller(self.settings, self.seed + self.generation)
+        self.controller.handle(now, api.Started())
+        self.request_count = 0
         if known:
-            self.hear(now)
+            self.receive_list(now)
 
-    def hear(self, now, born=BORN):
-        entry = api.ListEntry(HOST, api.ServerState.READY, born, 0, 0, 0, 1.0)
-        self.module.handle(now, api.ServerList(api.ListKind.FULL, 1, (entry,)))
+    def receive_list(self, now, host_start=HOST_START):
+        entry = api.ListEntry(HOST, api.ServerState.READY, host_start, 0, 0, 0, 1.0)
+        self.controller.handle(now, api.ServerList(api.ListKind.FULL, 1, (entry,)))
 
-    def ask(self, now):
-        self.asked += 1
-        request = api.SessionRequest(self.asked, 1, 0, 5, 2 * S, 0, 1, 0)
-        for action in self.module.handle(now, request):
+    def request_session(self, now):
+        self.request_count += 1
+        request = api.SessionRequest(self.request_count, 1, 0, 5, 2 * S, 0, 1, 0)
+        for action in self.controller.handle(now, request):
             if isinstance(action, api.SetUp):
                 self.fleet.send(now)
-                took = api.Playing(self.asked, 0, HOST, 0)
-                self.module.handle(now, took)
+                playing = api.Playing(self.request_count, 0, HOST, 0)
+                self.controller.handle(now, playing)
 
 
 class Fleet:
     """Gateways that get more requests than the host can handle, and a record of the host's set-ups."""
 
-    def __init__(self, count, seed, late=0):
-        self.draw, self.late, self.sends = random.Random(seed), late, []  # late: µs, every other 0.8 s
+    def __init__(self, count, seed, send_delay=0):
+        self.send_delay = send_delay  # µs, applied in every other 0.8 s
+        self.draw, self.sends = random.Random(seed), []
         self.gateways = [Gateway(self, number, count, seed * 1000) for number in range(count)]
 
     def start(self):
         """Start all gateways long before the host starts."""
         for gateway in self.gateways:
-            gateway.start(BORN - 60 * S)
+            gateway.start(HOST_START - 60 * S)
 
     def send(self, now):
-        self.sends.append(now + self.late * (now // (800 * MS) % 2))
+        self.sends.append(now + self.send_delay * (now // (800 * MS) % 2))
 
-    def play(self, since, until, each, between=lambda now: None):
+    def send_requests(self, since, until, each, between=lambda now: None):
         """Send `each` requests per second to every gateway at random times."""
         for now in range(since, until, 10 * MS):
             between(now)
             for gateway in self.gateways:
                 for _ in range(int(each / 100 + self.draw.random())):
-                    gateway.ask(now + self.draw.randrange(10 * MS))
+                    gateway.request_session(now + self.draw.randrange(10 * MS))
 
-    def worst(self):
+    def largest_excess(self):
         """Return the largest excess over the bound N + 2 * sqrt(N) + 2 of a window; 0 or less if it holds."""
         times = sorted(self.sends)
         over = []
         for place, begin in enumerate(times):
-            if begin < BORN + COLD:
-                count = bisect_left(times, begin + FALL) - place
-                budget = allowed(begin)
+            if begin < HOST_START + WARM_UP:
+                count = bisect_left(times, begin + WINDOW) - place
+                budget = window_budget(begin)
                 over.append(count - (budget + 2 * budget**0.5 + 2))
         return max(over)
 
 
 SIZES = (2, 20, 30)
-PLAYED, ASKED = 4 * S, 400  # µs, and requests per second in total: many times the host's budget
+DURATION, REQUESTS_PER_S = 4 * S, 400  # µs, and requests per second in total: many times the host's budget
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -100,8 +102,8 @@
 def test_all_gateways_together_keep_the_budget_during_the_warm_up(count, seed):
     fleet = Fleet(count, seed)
     fleet.start()
-    fleet.play(BORN, BORN + PLAYED, ASKED / count)
-    assert fleet.worst() <= 0 and len(fleet.sends) > 50
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count)
+    assert fleet.largest_excess() <= 0 and len(fleet.sends) > 50
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -111,12 +113,12 @@
     fleet.start()
 
     def restart(now):
-        if (now - BORN) % (1300 * MS) == 600 * MS:
+        if (now - HOST_START) % (1300 * MS) == 600 * MS:
             for gateway in fleet.draw.sample(fleet.gateways, count * 7 // 10):
                 gateway.start(now)
 
-    fleet.play(BORN, BORN + PLAYED, ASKED / count, restart)
-    assert fleet.worst() <= 0 and len(fleet.sends) > 20
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, restart)
+    assert fleet.largest_excess() <= 0 and len(fleet.sends) > 20
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -131,25 +133,25 @@
         for old in [old for old, until in ends if until <= now]:
             ends[:] = [each for each in ends if each[0] is not old]
             fleet.gateways.remove(old)
-        for old in list(fleet.gateways) if now == BORN + at else ():
+        for old in list(fleet.gateways) if now == HOST_START + at else ():
             new = Gateway(fleet, old.number, count, seed + 77 * old.number)
             new.start(now)
             session = api.SessionOpen(10**6, 1, 0, 5, 0, HOST)
-            new.module.handle(now, session)
+            new.controller.handle(now, session)
             fleet.gateways.append(new)
             ends.append((old, now + 900 * MS))
 
-    fleet.play(BORN, BORN + PLAYED, ASKED / count, replace)
-    assert fleet.worst() <= 0 and len(fleet.sends) > 40
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, replace)
+    assert fleet.largest_excess() <= 0 and len(fleet.sends) > 40
 
 
 @pytest.mark.parametrize("count", SIZES)
 @pytest.mark.parametrize("seed", range(3))
 def test_set_ups_delayed_by_connecting_keep_the_budget(count, seed):
-    fleet = Fleet(count, seed, late=CONNECT)
+    fleet = Fleet(count, seed, send_delay=CONNECT_TIME)
     fleet.start()
-    fleet.play(BORN, BORN + PLAYED, ASKED / count)
-    assert fleet.worst() <= 0 and len(fleet.sends) > 50
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count)
+    assert fleet.largest_excess() <= 0 and len(fleet.sends) > 50
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -157,15 +159,15 @@
 def test_gateways_that_do_not_have_the_host_in_their_list_yet_keep_the_budget(count, seed):
     fleet = Fleet(count, seed)
     for place, gateway in enumerate(fleet.gateways):
-        gateway.start(BORN - 60 * S, known=place % 2 == 0)
+        gateway.start(HOST_START - 60 * S, known=place % 2 == 0)
 
     def hear(now):
-        if now == BORN + 2 * S:
+        if now == HOST_START + 2 * S:
             for gateway in fleet.gateways[1::2]:
-                gateway.hear(now)
+                gateway.receive_list(now)
 
-    fleet.play(BORN, BORN + PLAYED, ASKED / count, hear)
-    assert fleet.worst() <= 0 and len(fleet.sends) > 50
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, hear)
+    assert fleet.largest_excess() <= 0 and len(fleet.sends) > 50
 
 
 @pytest.mark.parametrize("count", SIZES)
@@ -174,16 +176,16 @@
     """The host is busy until it dies, returns after 0.4 s, and the list has its new start time."""
     fleet = Fleet(count, seed)
     for gateway in fleet.gateways:
-        gateway.start(BORN - 60 * S, known=False)
-        gateway.hear(BORN - 60 * S, 0)
-    fleet.play(BORN - 2 * S, BORN - 400 * MS, ASKED / count)
+        gateway.start(HOST_START - 60 * S, known=False)
+        gateway.receive_list(HOST_START - 60 * S, 0)
+    fleet.send_requests(HOST_START - 2 * S, HOST_START - 400 * MS, REQUESTS_PER_S / count)
     warm = len(fleet.sends)
 
     def hear(now):
-        if now == BORN:
+        if now == HOST_START:
             for gateway in fleet.gateways:
-                gateway.hear(now)
+                gateway.receive_list(now)
 
     fleet.sends.clear()
-    fleet.play(BORN, BORN + PLAYED, ASKED / count, hear)
-    assert warm > 400 and fleet.worst() <= 0 and len(fleet.sends) > 40
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, hear)
+    assert warm > 400 and fleet.largest_excess() <= 0 and len(fleet.sends) > 40
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -3,7 +3,7 @@
 import random
 import statistics
 
-from helpers import T0, S, server_entry, attempt_end, make_controller, request, set_ups, report_use
+from helpers import T0, S, attempt_end, make_controller, report_use, request, server_entry, set_ups
 
 from mintmast import interface as api
 
@@ -44,7 +44,7 @@
     assert chosen != near
 
 
-def heard_of(seed, copies):
+def estimate_mean_use(seed, copies):
     """Return a gateway's estimate of the mean use, the plain mean of its reports, and the true mean."""
     draw = random.Random(seed)
     uses = [draw.uniform(0.15, 0.95) for _ in range(200)]
@@ -59,7 +59,7 @@
 
 
 def averages(copies):
-    told = [heard_of(seed, copies) for seed in range(30)]
+    told = [estimate_mean_use(seed, copies) for seed in range(30)]
     return (statistics.fmean(each) for each in zip(*told, strict=True))
 
 
