--- a/mintmast/http/client.py
+++ b/mintmast/http/client.py
@@ -221,7 +221,7 @@
         stream.write(self.call.data)
 
     def received(self, data: bytes) -> None:
-        if self.call is None:  # bytes without a pending call would be taken for the next call's reply
+        if self.call is None:  # a peer that sends unsolicited bytes is not trusted
             self._client.unsolicited += 1
             self.abort()
             return
--- a/mintmast/wire.py
+++ b/mintmast/wire.py
@@ -316,9 +316,9 @@
     if len(worths) != len(ladder):
         raise ValueError("levelKb and ladderWorth differ in length")
 
-    def per_class(key: str, place: int, default: Any) -> Any:
+    def per_class(key: str, index: int, default: Any) -> Any:
         values = family.get(key, ())
-        return values[place] if place < len(values) else default
+        return values[index] if index < len(values) else default
 
     services = document["services"]
     classes = tuple(
@@ -327,14 +327,14 @@
             target_time=int(each.get("aim", each["hardLimit"])),
             deadline=int(each["hardLimit"]),
             worth=_finite_number(each.get("worth", 1)),
-            scale=_finite_number(per_class("scaleByClass", place, 1)),
-            floor=int(per_class("lowestRung", place, 0)),
-            top=int(per_class("classTop", place, len(ladder) - 1)),
-            seats=int(per_class("seats", place, 0)),
+            scale=_finite_number(per_class("scaleByClass", index, 1)),
+            floor=int(per_class("lowestRung", index, 0)),
+            top=int(per_class("classTop", index, len(ladder) - 1)),
+            seats=int(per_class("seats", index, 0)),
             group=str(each.get("group", "all")),
             window=int(each.get("window", 0)),
         )
-        for place, each in enumerate(services)
+        for index, each in enumerate(services)
     )
     if not classes or not all(0 <= each.floor < len(ladder) and each.scale > 0 for each in classes):
         raise ValueError("no service class, a lowest rung off the ladder, or a scale that is not positive")
@@ -377,7 +377,7 @@
         uplink_kb=_finite_number(family.get("rackLinkKb", 0)),
         guard=_finite_number(family.get("guard", 0)),
         shared_adds=_finite_number(family.get("sharedAdds", 1)),
-        class_is_live=tuple(bool(per_class("classLive", place, False)) for place in range(len(services))),
+        class_is_live=tuple(bool(per_class("classLive", index, False)) for index in range(len(services))),
         stall_cost=_finite_number(family.get("stallCost", 1)),
         change_costs_s=_finite_number(family.get("changeCostsS", 0)),
         note_age=int(family.get("see", 0)),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -162,12 +162,12 @@
     gateway = make_controller(2)
     report_use(gateway, T0, SERVERS[0], 0.5)
     report_use(gateway, T0, SERVERS[1], 0.5, 9001)
-    told = gateway.uplinks[0].limit_kb
+    configured_kb = gateway.uplinks[0].limit_kb
     gateway.handle(T0 + S, api.Note(9000, SERVERS[0], api.NoteKind.DELIVERED, 0.8))
-    assert gateway.uplinks[0].limit_kb == told  # the cause may be the link of a single server
+    assert gateway.uplinks[0].limit_kb == configured_kb  # the cause may be the link of a single server
     gateway.handle(T0 + S, api.Note(9001, SERVERS[1], api.NoteKind.DELIVERED, 0.8))
-    lowered = gateway.uplinks[0].limit_kb
-    assert 0.6 * told <= lowered < told
+    lowered_kb = gateway.uplinks[0].limit_kb
+    assert 0.6 * configured_kb <= lowered_kb < configured_kb
     gateway.uplinks[0].limit_kb = 10_000.0
     later = T0 + S + decide.UPLINK_STEADY_US + 1
     report_use(gateway, later, SERVERS[0], 0.9)
@@ -241,19 +241,18 @@
 
 def test_averages_do_not_refuse_requests_that_servers_without_reports_can_hold():
     gateway = make_controller(4, uplink_kb=20_000.0)
-    report_use(
-        gateway, T0, SERVERS[0], 0.9
-    )  # with this use at all four servers, uplink demand would be 36,000 kB/s
+    # with this use at all four servers, uplink demand would be 36,000 kB/s
+    report_use(gateway, T0, SERVERS[0], 0.9)
     assert rung(gateway.handle(T0, request(1, home=1, copies=3))) == 0
 
 
 def test_a_full_server_among_many_holders_is_not_chosen():
-    taken = 0
+    chosen_full = 0
     for seed in range(30):
         gateway = make_controller(40, seed=seed, cells=0, racks=1, uplink_kb=400_000.0)
         report_use(gateway, T0, server_entry(3).server, 0.96)
-        taken += set_ups(gateway.handle(T0, request(1, best=0)))[0].server == server_entry(3).server
-    assert taken == 0
+        chosen_full += set_ups(gateway.handle(T0, request(1, best=0)))[0].server == server_entry(3).server
+    assert chosen_full == 0
 
 
 def test_a_draining_server_does_not_count_for_its_uplink():
--- a/tests/test_fleets.py
+++ b/tests/test_fleets.py
@@ -52,8 +52,8 @@
             controllers[me] = start_gateway(me)
         elif what in ("wait", "stall"):
             now += S // 20 if what == "wait" else S
-        asked = range(10) if what == "stall" else range(1)  # after a stall, all queued requests at once
-        for n in asked:
+        burst = range(10) if what == "stall" else range(1)  # after a stall, all queued requests at once
+        for n in burst:
             actions = controllers[me].handle(now, request(ref * 100 + n, best=0, copies=1))
             assert len(set_ups(actions)) + action_names(actions).count("Refuse") == 1
             sends += [(now, me)] * len(set_ups(actions))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -141,18 +141,21 @@
 
 
 def test_wrong_views_are_detected():
-    well = [view(0, name, 1, **dict.fromkeys({"a", "b", "c"} - {name}, "heard")) for name in "abc"]
+    all_heard = [view(0, name, 1, **dict.fromkeys({"a", "b", "c"} - {name}, "heard")) for name in "abc"]
     late = SETTLED + MOST + 2
-    assert broken_rules(*well, view(late, "a", 1, b="heard", c="heard")) == set()
-    assert broken_rules(*well, view(1, "a", 1, b="refused", c="heard")) == {"alive_not_dead"}
-    out = [view(1, "a", 1, b="confirmed", c="heard"), view(MOST + 2, "a", 1, b="confirmed", c="heard")]
-    assert broken_rules(*well, *out) == {"talks_not_out", "views_agree"}
+    assert broken_rules(*all_heard, view(late, "a", 1, b="heard", c="heard")) == set()
+    assert broken_rules(*all_heard, view(1, "a", 1, b="refused", c="heard")) == {"alive_not_dead"}
+    unreachable = [
+        view(1, "a", 1, b="confirmed", c="heard"),
+        view(MOST + 2, "a", 1, b="confirmed", c="heard"),
+    ]
+    assert broken_rules(*all_heard, *unreachable) == {"talks_not_out", "views_agree"}
     cut = {"what": "way", "at": 0, "source": "b", "target": "a", "talks": False}
     rest = {"what": "way", "at": 0, "source": "b", "target": "c", "talks": False}
-    mended = [{**each, "at": late, "talks": True} for each in (cut, rest)]
-    assert broken_rules(*well, cut, rest, *out) - {"views_agree"} == set()
+    restored = [{**each, "at": late, "talks": True} for each in (cut, rest)]
+    assert broken_rules(*all_heard, cut, rest, *unreachable) - {"views_agree"} == set()
     end = view(2 * late, "a", 1, b="confirmed", c="heard")
-    assert broken_rules(*well, cut, rest, *out, *mended, end) == {"views_agree"}
+    assert broken_rules(*all_heard, cut, rest, *unreachable, *restored, end) == {"views_agree"}
 
 
 @pytest.mark.parametrize("fault", ["no-refutation", "lost-is-dead"])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -84,13 +84,13 @@
     def largest_excess(self):
         """Return the largest excess over the bound N + 2 * sqrt(N) + 2 of a window; 0 or less if it holds."""
         times = sorted(self.sends)
-        over = []
+        excesses = []
         for place, begin in enumerate(times):
             if begin < HOST_START + WARM_UP:
                 count = bisect_left(times, begin + WINDOW) - place
                 budget = window_budget(begin)
-                over.append(count - (budget + 2 * budget**0.5 + 2))
-        return max(over)
+                excesses.append(count - (budget + 2 * budget**0.5 + 2))
+        return max(excesses)
 
 
 SIZES = (2, 20, 30)
@@ -161,12 +161,12 @@
     for place, gateway in enumerate(fleet.gateways):
         gateway.start(HOST_START - 60 * S, known=place % 2 == 0)
 
-    def hear(now):
+    def update_lists(now):
         if now == HOST_START + 2 * S:
             for gateway in fleet.gateways[1::2]:
                 gateway.receive_list(now)
 
-    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, hear)
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, update_lists)
     assert fleet.largest_excess() <= 0 and len(fleet.sends) > 50
 
 
@@ -181,11 +181,11 @@
     fleet.send_requests(HOST_START - 2 * S, HOST_START - 400 * MS, REQUESTS_PER_S / count)
     warm = len(fleet.sends)
 
-    def hear(now):
+    def update_lists(now):
         if now == HOST_START:
             for gateway in fleet.gateways:
                 gateway.receive_list(now)
 
     fleet.sends.clear()
-    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, hear)
+    fleet.send_requests(HOST_START, HOST_START + DURATION, REQUESTS_PER_S / count, update_lists)
     assert warm > 400 and fleet.largest_excess() <= 0 and len(fleet.sends) > 40
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -140,30 +140,33 @@
 @pytest.mark.parametrize(
     "text",
     [b"{", b"[]", b"null", json.dumps({**SETTINGS, "services": 3}).encode()]
-    + [json.dumps({k: v for k, v in SETTINGS.items() if k != gone}).encode() for gone in list(SETTINGS)[:5]],
+    + [
+        json.dumps({k: v for k, v in SETTINGS.items() if k != missing}).encode()
+        for missing in list(SETTINGS)[:5]
+    ],
 )
 def test_incomplete_settings_are_rejected(text):
     with pytest.raises(wire.WireError):
         wire.parse_settings(text)
 
 
-def adapter(data):
+def run_adapter(data):
     return subprocess.run(
         [sys.executable, "-m", "mintmast.simhost"], input=data, capture_output=True, timeout=60, check=False
     )
 
 
 def test_adapter_answers_empty_batches_and_ends_with_its_input():
-    done = adapter(raw("0000000c 0000000000805c5a") * 2)
-    assert done.returncode == 0 and done.stdout == raw("00000000 00000008") * 2 and not done.stderr
+    process = run_adapter(raw("0000000c 0000000000805c5a") * 2)
+    assert process.returncode == 0 and process.stdout == raw("00000000 00000008") * 2 and not process.stderr
 
 
 def test_adapter_restarts_an_instance_within_one_batch():
     text = json.dumps(SETTINGS).encode()
     spawn = struct.pack(">HIQI", 1010, 3, 9, len(text)) + text
     body = spawn + raw("03e8 00000003") + spawn + raw("0438 00000003 0e6f2b19")
-    done = adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
-    assert done.returncode == 0 and done.stdout == raw("00000000 00000008")
+    process = run_adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
+    assert process.returncode == 0 and process.stdout == raw("00000000 00000008")
 
 
 @pytest.mark.parametrize(
@@ -176,26 +179,26 @@
     ],
 )
 def test_adapter_reports_malformed_input_in_one_line(data):
-    done = adapter(raw(data))
-    assert done.returncode == 2
-    assert done.stderr.count(b"\n") == 1 and done.stderr.startswith(b"mintmast: ")
+    process = run_adapter(raw(data))
+    assert process.returncode == 2
+    assert process.stderr.count(b"\n") == 1 and process.stderr.startswith(b"mintmast: ")
 
 
 def test_adapter_reports_an_event_for_an_instance_that_does_not_run():
     body = raw("0438 00000003 0e6f2b19")
-    done = adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1
+    process = run_adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
+    assert process.returncode == 2 and process.stderr.count(b"\n") == 1
 
 
 def test_adapter_reports_a_class_that_is_not_in_the_settings():
     text = json.dumps(SETTINGS).encode()
     body = struct.pack(">HIQI", 1010, 3, 9, len(text)) + text + raw(EVENTS[0][0])[:-1] + b"\x07"
-    done = adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
-    assert done.returncode == 2 and done.stderr.count(b"\n") == 1 and b"class 7" in done.stderr
+    process = run_adapter(struct.pack(">IQ", 12 + len(body), 5) + body)
+    assert process.returncode == 2 and process.stderr.count(b"\n") == 1 and b"class 7" in process.stderr
 
 
 @pytest.mark.parametrize("family", [{"lowestRung": [5]}, {"scaleByClass": [0]}, {"levelKb": []}])
 def test_invalid_settings_are_rejected(family):
-    told = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], **family}}
+    settings = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], **family}}
     with pytest.raises(wire.WireError):
-        wire.parse_settings(json.dumps(told).encode())
+        wire.parse_settings(json.dumps(settings).encode())
