--- a/mintmast/decide.py
+++ b/mintmast/decide.py
@@ -1,8 +1,10 @@
-"""Every decision of the controller: where a session plays, at which rung, or that it is refused.
+"""Place sessions on media servers, choose their rungs, and refuse requests that do not fit.
 
-Its types, events and actions are in `interface.py`. Outline: tuned values; `_Pipe`, the slot account of a
-link or rack uplink; `Controller`: list of servers, requests and attempts, admission (slot test, price of
-room, holder order), guards, notes, step-down under short delivery. Times are microseconds, rates kB a second.
+The types of events and actions are in `interface.py`. This module holds the tuning constants;
+`_CapacityAccount`, which tracks the use of a server link or a rack uplink; and `Controller`, which handles
+server list updates, requests and attempts, admission control (capacity test, price of capacity, order of
+candidates), limits, load reports, and the step-down of rungs when delivery falls short. Times are in
+microseconds, rates in kB/s.
 """
 
 from __future__ import annotations
@@ -17,87 +19,87 @@
 from mintmast.interface import Effect, ListKind, NoteKind, Outcome, ServerState
 
 SECOND = 1_000_000
-SLOT_US = SECOND  # µs; a slot of the link account: the design's second, well under a session's length
-# µs; charge of a session with no hint: over the usual length, as ends are told
+SLOT_US = SECOND  # µs; granularity of the capacity accounts, well under a session's length
+# µs; charge for a session without a length hint: longer than usual, because the end of a session is reported
 DEFAULT_LENGTH_US = 120 * SECOND
-# part of a link that the slot test may fill: room for rates above the ladder and late notes
+# share of a link that the capacity test may fill; the rest covers rates above the ladder and late reports
 MAX_UTILISATION = 0.97
-# part of the room that the price fills where own sessions lie at no server, at all: what is noted of servers
-# without own sessions is thin or old, so less of their room can be counted on
+# share of fleet capacity assumed usable when this gateway has sessions on no server and on every server:
+# reports about servers without own sessions are sparse or old, so less of their capacity can be relied on
 FILL_WITHOUT_SESSIONS, FILL_WITH_SESSIONS = 0.75, 1.0
-MIN_AVERAGED_USE = 0.1  # noted use that an average takes at the least: a server heard of carries a session
-UNLIMITED_KB = 1e12  # kB a second; a link or uplink of which nothing is told
-# sizes told beyond this or under its inverse, and uses noted above the other, are taken for broken
+# minimum use in the harmonic mean: a server with a report carries at least one session
+MIN_AVERAGED_USE = 0.1
+UNLIMITED_KB = 1e12  # kB/s; capacity of a link or uplink whose rate is not configured
+# relative sizes above the first value or below its inverse, and reported uses above the second, are invalid
 MAX_RELATIVE_SIZE, MAX_REPORTED_USE = 1000.0, 20.0
-# part of a link; room that a holder in the own zone seems to have more, per told price of crossing, and one
-# to which a connection stands, per told price of a new one
+# share of a link that one unit of configured cost is worth in the order of candidates: the cross-zone cost
+# for a holder in the own zone, the handshake cost for one with an open connection
 CAPACITY_PER_COST = 10.0
-# holders looked at: of more, gateways follow the same old notes in step; of fewer, they meet full ones. And
-# how many are drawn to find so many that can be used, before all are looked at
+# Candidates compared for a set-up: with more, gateways move in step on the same old reports; with fewer,
+# they hit full servers. The second value is the size of the random sample tried before all holders.
 MAX_CANDIDATES, HOLDER_SAMPLE = 4, 16
-# µs; advice after a refusal: about one session of a server ends in that time
+# µs; retry advice sent with a refusal: a server ends about one session in that time
 RETRY_AFTER_US = SECOND
-MIN_SET_UP_US = 60_000  # µs; with less time left no set-up can answer, so none is sent
-# µs; a server with a set-up out for so long may stand still: several usual set-ups
+MIN_SET_UP_US = 60_000  # µs; a set-up cannot be answered in less time, so none is sent
+# µs; a server with a set-up unanswered for this long may hang: several times the usual set-up time
 UNANSWERED_US = SECOND * 2 // 5
-# µs; a server is passed over so long after a failed set-up, doubled with each in a row up to the second:
-# faults last tens of seconds and must be noticed as over. So long after it said that it is full: one slot
+# µs; a server is ejected for the first value after a failed set-up, doubled with each consecutive failure
+# up to the second: faults last tens of seconds, and recovery must be noticed. The third is the first pause
+# after a FULL reply, one slot.
 EJECTION_US, MAX_EJECTION_US, FULL_BACKOFF_US = 2 * SECOND, 16 * SECOND, SECOND
-STEP_DOWN_BELOW = 0.96  # delivered share under which rungs are stepped down: a little short costs less
-STEP_DOWN_TARGET = (
-    0.8  # part of what is delivered that rungs kept may ask for: rates vary, set-ups are under way
-)
-STEP_DOWN_DELAY_US = 2 * SECOND  # µs beside the age of notes before the same server is judged again
-# µs; in that time a noted use turns into the fleet's average: about a session.s length
+STEP_DOWN_BELOW = 0.96  # delivered share below which rungs are stepped down; a smaller shortfall costs less
+STEP_DOWN_TARGET = 0.8  # share of delivered rate that rungs may use: rates vary, set-ups are under way
+STEP_DOWN_DELAY_US = (
+    2 * SECOND
+)  # µs, added to the age of reports, until the same server is stepped down again
+# µs until a reported use has decayed to the fleet's average: about the length of a session
 NOTE_LIFETIME_US = 30 * SECOND
-RUNG_REVIEW_DELAY_US = (
-    6 * SECOND
-)  # µs after a cut before the rung is settled anew: notes show what the cut did
-BUSY_LINK_USE = 0.9  # noted use under which a link is not what makes delivery short
-# an uplink's told rate falls by so much of a missing share, as each server notes it; it rises by so much at a
-# link's note while used by that part and for so long (µs) never short; bounds beyond the spread of real racks
+# µs after a cut until the rung is reviewed, so that reports show its effect
+RUNG_REVIEW_DELAY_US = 6 * SECOND
+BUSY_LINK_USE = 0.9  # reported use below which a link is not the cause of short delivery
+# An uplink's estimated rate falls by the first factor times the missing share, for each server that reports
+# one. It rises by the second at a link report while its use is above the third and delivery has not been
+# short for the fourth (µs). The bounds exceed the spread of real racks.
 UPLINK_DECREASE, UPLINK_INCREASE, BUSY_UPLINK_USE, UPLINK_STEADY_US = 0.3, 0.01, 0.85, 5 * SECOND
 MIN_UPLINK_FACTOR, MAX_UPLINK_FACTOR = 0.6, 1.4
-DEAD_BELOW_SHARE = 0.1  # delivered share under which a server stands still: smaller rungs would not help
-# µs in which the process of the same name that was told to end may still send, after this one has started
+DEAD_BELOW_SHARE = 0.1  # delivered share below which a server hangs: smaller rungs would not help
+# µs after this process starts during which its predecessor of the same name may still send set-ups
 PROCESS_OVERLAP_US = SECOND
-UNSERVED_DEMAND_US = 4 * SECOND  # µs; broken sessions count as demand so long: most viewers are back by then
-TOTALS_PERIOD_US = SECOND // 4  # µs; sums over the fleet and the price of room are worked out anew so often
+UNSERVED_DEMAND_US = 4 * SECOND  # µs that a lost session counts as demand: most viewers are back by then
+TOTALS_PERIOD_US = SECOND // 4  # µs between updates of the fleet totals and of the price of capacity
 
 
 class _CapacityAccount:
-    """Slot account of a link or an uplink: its noted use, and what this gateway changed since then."""
+    """Estimate the load of a link or an uplink: its reported use plus this gateway's changes since then."""
 
-    __slots__ = ("at", "charges", "limit_kb", "uplink_short_at", "last_short_report", "use")
+    __slots__ = ("reported_at", "charges", "limit_kb", "uplink_short_at", "last_short_report", "use")
 
-    def __init__(self, limit: float) -> None:
-        self.limit_kb = limit
+    def __init__(self, limit_kb: float) -> None:
+        self.limit_kb = limit_kb
         self.use: float | None = None
-        self.at = -1
-        self.last_short_report = self.uplink_short_at = (
-            0,
-            b"",
-        )  # last short share and last one it caused: when, at whom
-        self.charges: deque[tuple[int, int, float]] = deque()
-
-    def charge(self, now: int, ends: int, kb: float) -> None:
-        """Put `kb` (negative: take off) into the slots from now to that of `ends`; what is past goes."""
+        self.reported_at = -1
+        # (time, server) of the last short delivery, and of the last one attributed to this uplink
+        self.last_short_report = self.uplink_short_at = (0, b"")
+        self.charges: deque[tuple[int, int, float]] = deque()  # (time, last slot, kB/s)
+
+    def charge(self, now: int, ends_at: int, kb: float) -> None:
+        """Add `kb` (negative: release) to the slots from now to that of `ends_at`; drop past charges."""
         while self.charges and self.charges[0][1] < now // SLOT_US:
             self.charges.popleft()
-        self.charges.append((now, ends // SLOT_US, kb))
+        self.charges.append((now, ends_at // SLOT_US, kb))
 
-    def record_use(self, seen: int, use: float) -> None:
-        """Take a report of the use as it was at `seen`; what was changed before is part of it."""
-        if seen < self.at:
+    def record_use(self, measured_at: int, use: float) -> None:
+        """Record the use measured at `measured_at`, which includes all charges made until then."""
+        if measured_at < self.reported_at:
             return
-        self.use, self.at = use, seen
-        while self.charges and self.charges[0][0] <= seen:
+        self.use, self.reported_at = use, measured_at
+        while self.charges and self.charges[0][0] <= measured_at:
             self.charges.popleft()
 
     def charged_kb(self, now: int) -> float:
-        """Give the fullest slot's charges since the note.
+        """Return the charges of the fullest slot since the last report.
 
-        Every charge starts at once and only leaves later, so the fullest slot is the present one.
+        Every charge starts at once and only ends later, so the fullest slot is the present one.
         """
         slot = now // SLOT_US
         while self.charges and self.charges[0][1] < slot:
@@ -105,27 +107,27 @@
         return sum(kb for _, last, kb in self.charges if last >= slot)
 
     def demand_kb(self, now: int, default_use: float) -> float:
-        """Give the rate asked in the fullest slot; `unheard` is the use taken where none was noted.
+        """Return the demand in the fullest slot in kB/s; `default_use` is used without a report.
 
-        An old note fades towards that: no new one comes where this gateway holds no session any more, and a
-        server once noted as full would stay shut out for good.
+        An old report decays towards that use: no new ones arrive from a server where this gateway has no
+        sessions left, and a server once reported as full would stay excluded for good.
         """
-        fresh = self.report_weight(now)
-        use = fresh * self.use + (1 - fresh) * default_use if fresh else default_use
+        weight = self.report_weight(now)
+        use = weight * self.use + (1 - weight) * default_use if weight else default_use
         return max(0.0, use * self.limit_kb + (self.charged_kb(now) if self.charges else 0.0))
 
     def known_demand_kb(self, now: int, default_use: float) -> float:
-        """Give the same, but nothing for a use never noted: what this gateway has reason to believe."""
+        """Return the same, with a use of 0 for a link that was never reported: demand backed by reports."""
         return self.demand_kb(now, 0.0 if self.use is None else default_use)
 
     def report_weight(self, now: int) -> float:
-        """Give the weight of the note: 1 when new, 0 when nobody can say any more."""
-        return 0.0 if self.use is None else max(0.0, 1 - (now - self.at) / NOTE_LIFETIME_US)
+        """Return the weight of the last report, from 1 when new to 0 when expired."""
+        return 0.0 if self.use is None else max(0.0, 1 - (now - self.reported_at) / NOTE_LIFETIME_US)
 
 
 @dataclass(slots=True)
 class _Server:
-    """What this gateway knows of one server."""
+    """The state that this gateway keeps for one server."""
 
     entry: api.ListEntry
     link: _CapacityAccount
@@ -133,14 +135,14 @@
     sessions: dict[int, _Session] = field(default_factory=dict)
     failures: int = 0
     ejected_until: int = 0
-    full_replies: int = 0  # how often it has said that it is full since a session last began there
-    full_until: int = 0  # it has said that it is full, and nothing was seen to end there since
-    restart_suspected_at: int = -1  # last sign that its process died or may have started anew
+    full_replies: int = 0  # FULL replies since a session last started there
+    full_until: int = 0  # no set-ups until then after a FULL reply; cleared when an own session ends there
+    restart_suspected_at: int = -1  # last sign that its process died or may have restarted
     answered_at: int | None = None  # first set-up answered after that sign
     set_up_times: deque[int] = field(default_factory=deque)
     stepped_down_at: int = -(10**15)
-    gone_at: int | None = None  # when it was first heard that it is gone
-    last_used_at: int = -(10**15)  # when it was last sent a set-up or a session ended there
+    gone_at: int | None = None  # when the list first reported it as gone
+    last_used_at: int = -(10**15)  # when a set-up was last sent or a session last ended there
 
 
 @dataclass(slots=True)
@@ -148,15 +150,15 @@
     """A request and, once it plays, its session."""
 
     request: int
-    kind: int  # place of its class
+    class_index: int  # index of its service class
     service: api.ServiceClass
     title: int
     best_rung: int
     deadline: int = 0
-    length: int = 0
-    home: int = 0
+    expected_length: int = 0
+    home_cell: int = 0
     copies: int = 0
-    server: bytes | None = None  # where its attempt is out or it plays
+    server: bytes | None = None  # where its attempt is pending or it plays
     rung: int = 0
     rate_kb: float = 0.0
     ends_at: int = 0
@@ -165,15 +167,15 @@
     may_have_run: bool = False
     is_playing: bool = False
     has_own_report: bool = False
-    is_move: bool = False  # the gateway asks for it, not a viewer
-    is_settled: bool = False  # its final answer is given or no longer owed
+    is_move: bool = False  # requested by the gateway, not by a viewer
+    is_settled: bool = False  # its final answer was sent or is no longer needed
     error_replies: int = 0  # hosts that answered it with an error
-    rung_is_provisional: bool = False  # its rung was cut for want of room or not decided here
-    rung_set_at: int = -(10**15)  # when its rung was last decided
+    rung_is_provisional: bool = False  # its rung was lowered for lack of capacity or not chosen here
+    rung_set_at: int = -(10**15)  # when its rung was last chosen
 
 
 class Controller:
-    """Decides for one gateway; feed it every event in order and carry out the actions it returns."""
+    """Make the decisions of one gateway: pass it every event in order and execute the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         s = self.settings = settings
@@ -187,13 +189,13 @@
         self.request_times: deque[int] = deque()
         self.unserved: deque[tuple[int, _Session]] = deque()
         self.started = 0
-        self.is_planned_start = False  # sessions were playing when this gateway started
-        # Sums over the fleet; asked of each uplink, with and without averages for servers unheard:
+        self.is_planned_start = False  # a predecessor handed over playing sessions when this gateway started
+        # Fleet totals. Each uplink's demand is kept with and without averages for servers without reports.
         self.totals_at = -TOTALS_PERIOD_US
         self.mean_use, self.has_reports, self.fleet_capacity_kb = 0.0, False, 0.0
-        self.holder_share = 1.0  # part of the servers that hold the title asked for last
+        self.holder_share = 1.0  # share of the servers that hold the last requested title
         self.uplink_demand, self.known_uplink_demand = [0.0] * s.racks, [0.0] * s.racks
-        self.price = (0.0, 1.0)  # worth for a kB of the marginal step, and the part of it that fits
+        self.price = (0.0, 1.0)  # worth per kB of the marginal step, and the share of it that fits
         self.price_at = -TOTALS_PERIOD_US
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
@@ -209,7 +211,7 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at time `now` and give the actions that follow from it."""
+        """Handle one event at time `now` and return the resulting actions."""
         self.actions = []
         handler = self.handlers.get(type(event))
         if handler is not None:
@@ -225,11 +227,11 @@
 
     def _handle_server_list(self, now: int, event: api.ServerList) -> None:
         if event.kind is ListKind.FAILED:
-            # A list service that is down must not be flooded by those who wait for it: ask again later.
+            # Retry after a delay, so that waiting gateways do not flood a list service that is down.
             self.actions.append(api.SetTimer(SECOND, 0))
             return
-        new = event.kind is not ListKind.DELTA
-        if new:
+        needs_index = event.kind is not ListKind.DELTA
+        if needs_index:
             listed = {entry.server for entry in event.entries}
             for server in self.servers.values():
                 if server.entry.server not in listed:
@@ -238,19 +240,19 @@
             server = self.servers.get(entry.server)
             if server is None:
                 server = self.servers[entry.server] = _Server(entry, _CapacityAccount(1.0))
-                new = True
-            elif entry.started > server.entry.started:  # a new process: what was learned of the old is void
-                server.link.use, server.link.at = None, -1
+                needs_index = True
+            elif entry.started > server.entry.started:  # new process: the state of the old one is void
+                server.link.use, server.link.reported_at = None, -1
                 server.failures = server.ejected_until = 0
-            new = new or entry.cell != server.entry.cell
+            needs_index = needs_index or entry.cell != server.entry.cell
             server.entry = entry
-        if self._remove_gone_servers(now) or new:
+        if self._remove_gone_servers(now) or needs_index:
             self._index_servers()
 
     def _remove_gone_servers(self, now: int) -> bool:
-        """Forget servers gone for so long that nothing known of them counts any more; tell if there were any.
+        """Remove servers that are gone and whose state has expired; return whether any were removed.
 
-        Danger: where new ones always take the place of old ones, what is kept of the old grows for ever.
+        Without this, the state grows without bound where new servers keep replacing old ones.
         """
         for key, server in list(self.servers.items()):
             if server.entry.state is not ServerState.GONE:
@@ -262,23 +264,27 @@
         return len(self.servers) < sum(map(len, self.by_cell.values()))
 
     def _index_servers(self) -> None:
-        """Sort servers by cell and set told rates: by weight where told, else by the streams of a kind."""
+        """Index servers by cell and set link rates: by weight if configured, else by streams of the kind."""
         s = self.settings
         self.by_cell = {}
-        ready = [each for each in self.servers.values() if each.entry.state is not ServerState.GONE]
-        mean = sum(self._stream_count(each) for each in ready) / max(1, len(ready))
+        listed = [each for each in self.servers.values() if each.entry.state is not ServerState.GONE]
+        mean_streams = sum(self._stream_count(each) for each in listed) / max(1, len(listed))
         for server in self.servers.values():
             self.by_cell.setdefault(server.entry.cell, []).append(server)
             server.rack = server.entry.cell % s.racks
             size = (
-                server.entry.weight if s.has_weights else self._stream_count(server) / mean if mean else 1.0
+                server.entry.weight
+                if s.has_weights
+                else self._stream_count(server) / mean_streams
+                if mean_streams
+                else 1.0
             )
-            told = s.weight_kb or s.links_kb / max(1, len(ready)) or UNLIMITED_KB
-            server.link.limit_kb = told * min(MAX_RELATIVE_SIZE, max(1 / MAX_RELATIVE_SIZE, size))
+            mean_link_kb = s.weight_kb or s.links_kb / max(1, len(listed)) or UNLIMITED_KB
+            server.link.limit_kb = mean_link_kb * min(MAX_RELATIVE_SIZE, max(1 / MAX_RELATIVE_SIZE, size))
 
     def _stream_count(self, server: _Server) -> int:
-        told, kind = self.settings.kind_streams, server.entry.kind
-        return told[kind] if kind < len(told) else min(told, default=0)
+        stream_counts, kind = self.settings.kind_streams, server.entry.kind
+        return stream_counts[kind] if kind < len(stream_counts) else min(stream_counts, default=0)
 
     # Requests and attempts
 
@@ -286,15 +292,15 @@
         service = self.settings.classes[event.service]
         if self.settings.budget and not event.moved:
             self.request_times.append(now)
-        best = min(event.best_rung, service.top, len(self.settings.rung_kb) - 1)
-        session = _Session(event.request, event.service, service, event.title, best, now + event.budget)
-        session.length = event.length_hint or DEFAULT_LENGTH_US
-        session.home, session.copies, session.is_move = event.home_cell, event.copies, event.moved
+        best_rung = min(event.best_rung, service.top, len(self.settings.rung_kb) - 1)
+        session = _Session(event.request, event.service, service, event.title, best_rung, now + event.budget)
+        session.expected_length = event.length_hint or DEFAULT_LENGTH_US
+        session.home_cell, session.copies, session.is_move = event.home_cell, event.copies, event.moved
         self.sessions[event.request] = session
         self._place(now, session)
 
     def _place(self, now: int, session: _Session) -> None:
-        """Send the session to the best holder that passes, or end it at once."""
+        """Send a set-up to the best holder that admits the session, or end the request."""
         choice = None
         if session.deadline - now >= MIN_SET_UP_US and self._may_attempt(now, session):
             choice = self._admit(now, session)
@@ -304,14 +310,12 @@
         server, rung = choice
         if not session.attempts or rung != session.rung:
             self.actions.append(api.SetRung(session.request, rung))
-        if self.settings.budget and (
-            session.attempts or session.is_move
-        ):  # a move sends a viewer's once more
+        if self.settings.budget and (session.attempts or session.is_move):  # a move repeats a viewer's set-up
             self.retry_times.append(now)
         if not session.attempts:
             self._change_seats(session, 1)
         session.rung, session.rate_kb = rung, self._rate_kb(session, rung)
-        session.server, session.ends_at = server.entry.server, now + session.length
+        session.server, session.ends_at = server.entry.server, now + session.expected_length
         session.rung_is_provisional, session.rung_set_at = rung < session.best_rung, now
         session.attempts += 1
         session.tried_servers.append(session.server)
@@ -319,13 +323,13 @@
         server.set_up_times.append(now)
         server.last_used_at = now
         self._charge(now, server, session, session.rate_kb)
-        timeout = 0  # a paid set-up is not tried again, so it gets all the time there is
+        timeout = 0  # a paid set-up is not retried, so it may use all the time until the deadline
         if session.service.effect is Effect.FREE:
             timeout = min(session.deadline, now + session.service.target_time // 2)
         self.actions.append(api.SetUp(session.request, session.server, timeout))
 
     def _end_request(self, now: int, session: _Session) -> None:
-        """Answer a request that goes nowhere: refused if that is safe, else failed."""
+        """End a request that cannot be placed: refuse it if it never ran, else fail it."""
         session.is_settled = True
         del self.sessions[session.request]
         if session.attempts:
@@ -336,8 +340,8 @@
         if session.error_replies < 2:
             self.unserved.append((now, session))
         s = self.settings
-        advice = min(RETRY_AFTER_US, s.max_retry_after) if s.may_advise else 0
-        self.actions.append(api.Refuse(session.request, advice))
+        retry_after = min(RETRY_AFTER_US, s.max_retry_after) if s.may_advise else 0
+        self.actions.append(api.Refuse(session.request, retry_after))
 
     def _handle_attempt_end(self, now: int, event: api.AttemptEnd) -> None:
         self._record_load(now, event.server, event.load)
@@ -357,14 +361,14 @@
             session.may_have_run = True
         if event.complete or session.is_playing or session.is_settled:
             if server is not None and session.is_playing:
-                server.full_until, server.last_used_at = 0, now  # a place is free again
+                server.full_until, server.last_used_at = 0, now  # a session slot is free again
             del self.sessions[session.request]
             self._change_seats(session, -1)
             if session.is_playing and event.outcome is Outcome.RESET:
                 self.unserved.append((now, session))
             return
-        bound = session.may_have_run and session.service.effect is not Effect.FREE
-        if bound or event.outcome is Outcome.NOT_SENT:
+        must_not_repeat = session.may_have_run and session.service.effect is not Effect.FREE
+        if must_not_repeat or event.outcome is Outcome.NOT_SENT:
             self._end_request(now, session)
         else:
             self._place(now, session)
@@ -403,14 +407,14 @@
         session = self.sessions.get(event.request)
         if session is None or session.is_settled:
             return
-        session.is_settled = True  # its attempt still runs and holds its seat until its end is told
+        session.is_settled = True  # its attempt still runs and keeps its seat until its end is reported
         if session.server is not None and not session.is_playing and self.settings.may_cancel:
             self.actions.append(api.Cancel(session.request, session.attempts - 1))
 
     # Admission
 
     def _admit(self, now: int, session: _Session) -> tuple[_Server, int] | None:
-        """Find the highest rung worth its room that passes the slot test at a holder, roomiest first."""
+        """Find a candidate for the highest affordable rung; prefer those with the most free capacity."""
         holders = self._find_candidates(now, session)
         if not holders:
             return None
@@ -418,52 +422,54 @@
         ordered = []
         for server in holders:
             link, rack = self._free_capacity(now, server, self.mean_use, self.uplink_demand)
-            order = link / server.link.limit_kb + rack / self.uplinks[server.rack].limit_kb
+            preference = link / server.link.limit_kb + rack / self.uplinks[server.rack].limit_kb
             if server.entry.zone == self.settings.zone:
-                order += CAPACITY_PER_COST * self.settings.cross_zone_cost
+                preference += CAPACITY_PER_COST * self.settings.cross_zone_cost
             if self._has_connection(now, server):
-                order += CAPACITY_PER_COST * self.settings.handshake_cost
-            key = (self._is_ejected(now, server, session), -order, self.random.random())
+                preference += CAPACITY_PER_COST * self.settings.handshake_cost
+            key = (self._is_ejected(now, server, session), -preference, self.random.random())
             ordered.append((key, server, min(link, rack)))
         ordered.sort(key=lambda each: each[0])
         floor = session.service.floor
         for rung in range(self._highest_affordable_rung(now, session), floor, -1):
             kb = self._rate_kb(session, rung)
-            for _, server, room in ordered:
-                if not self.has_reports or kb <= room:
+            for _, server, free_kb in ordered:
+                if not self.has_reports or kb <= free_kb:
                     return server, rung
-        # Danger: with most servers unheard, averages made of a handful of notes fill whole racks on paper and
-        # would turn viewers away beside idle servers. They may lower the rung; only what was heard refuses.
-        # May hurt under an overload of which nothing is heard: links then fill with sessions at the floor.
+        # Averages may lower the rung, but only reports may refuse a request. With few reports, averages of a
+        # handful of servers would show whole racks as full and refuse viewers next to idle servers.
+        # Drawback: in an overload without reports, links fill with sessions at the floor rung.
         for _, server, _ in ordered:
-            unheard = 0.0 if server.link.use is None else self.mean_use
-            room = min(self._free_capacity(now, server, unheard, self.known_uplink_demand))
-            if not self.has_reports or self._rate_kb(session, floor) <= room:
+            default_use = 0.0 if server.link.use is None else self.mean_use
+            free_kb = min(self._free_capacity(now, server, default_use, self.known_uplink_demand))
+            if not self.has_reports or self._rate_kb(session, floor) <= free_kb:
                 return server, floor
         return None
 
     def _free_capacity(
         self, now: int, server: _Server, default_use: float, uplink_demand: list[float]
     ) -> tuple[float, float]:
-        """Give what the fullest slot leaves up to the mark on the server's link and on its rack's uplink."""
+        """Return the free capacity of the server's link and of its rack's uplink in the fullest slot."""
         link = server.link.limit_kb * self._warmth(now, server) * MAX_UTILISATION - server.link.demand_kb(
             now, default_use
         )
         return link, self.uplinks[server.rack].limit_kb * MAX_UTILISATION - uplink_demand[server.rack]
 
     def _find_candidates(self, now: int, session: _Session) -> list[_Server]:
-        """Give the holders that can take a set-up, a random few where there are many."""
+        """Return holders that can accept a set-up, a random few if there are many."""
         cells, copies = self.settings.cells, session.copies
         if cells and copies < cells:
-            where = [(session.home + step) % cells for step in range(copies)]
-            held = [server for cell in where for server in self.by_cell.get(cell, ())]
+            holder_cells = [(session.home_cell + step) % cells for step in range(copies)]
+            holders = [server for cell in holder_cells for server in self.by_cell.get(cell, ())]
         else:
-            held = list(self.servers.values())
-        self.holder_share = len(held) / max(1, len(self.servers))
+            holders = list(self.servers.values())
+        self.holder_share = len(holders) / max(1, len(self.servers))
         found: list[_Server] = []
-        near = [each for each in held if self._has_connection(now, each)]
+        connected = [each for each in holders if self._has_connection(now, each)]
         pools = (
-            (near, self.random.sample(held, HOLDER_SAMPLE), held) if len(held) > HOLDER_SAMPLE else (held,)
+            (connected, self.random.sample(holders, HOLDER_SAMPLE), holders)
+            if len(holders) > HOLDER_SAMPLE
+            else (holders,)
         )
         for pool in pools:
             found = [
@@ -474,131 +480,143 @@
                 and now >= each.full_until
                 and self._slow_start_allows(now, each)
             ]
-            well = [each for each in found if not self._is_ejected(now, each, session)]
-            if len(well) >= MAX_CANDIDATES:
-                some = self.random.sample(well, len(well) if near else MAX_CANDIDATES)
-                return sorted(some, key=lambda each: not self._has_connection(now, each))[:MAX_CANDIDATES]
+            healthy = [each for each in found if not self._is_ejected(now, each, session)]
+            if len(healthy) >= MAX_CANDIDATES:
+                chosen = self.random.sample(healthy, len(healthy) if connected else MAX_CANDIDATES)
+                return sorted(chosen, key=lambda each: not self._has_connection(now, each))[:MAX_CANDIDATES]
         return found
 
     def _has_connection(self, now: int, server: _Server) -> bool:
-        """Tell whether a connection to the server stands: own sessions play there, or did a moment ago.
+        """Return whether a connection to the server is open: own sessions play there or did recently.
 
-        Danger: in a large fleet each gateway sends few set-ups to each server, so nearly every one opens a
-        connection, which servers have few of and the settings may price. Near ones are looked at first and
-        seem roomier by that price. May hurt where notes are old: a gateway stays with its servers longer.
+        In a large fleet each gateway sends few set-ups to each server, so nearly every set-up opens a new
+        connection; servers have few of them, and the settings may set a cost. Connected servers are tried
+        first and count as having more capacity, by that cost. Drawback: with old reports, a gateway stays
+        with its servers longer.
         """
         if not self.settings.handshake_cost:
             return False
         return bool(server.sessions) or now - server.last_used_at < self.settings.idle_connection_time
 
     def _refresh_totals(self, now: int) -> None:
-        """Renew the sums over the fleet, once in a short while; own charges are added as they come."""
+        """Recompute the fleet totals if they are old; own charges are added as they are made."""
         if now - self.totals_at < TOTALS_PERIOD_US:
             return
         self.totals_at = now
-        # Those that drain count no more: their sessions leave, and their successors count beside them.
+        # Draining servers do not count: their sessions leave, and their replacements are already counted.
         listed = [each for each in self.servers.values() if each.entry.state is ServerState.READY]
-        heard = [each.link for each in self.servers.values() if each.link.use is not None]
-        self.has_reports = bool(heard)
-        # Danger: a server is heard of while own sessions play there. Where titles lie on few servers, it is
-        # the busy that are heard: were they drawn in proportion to use, the harmonic mean would be the mean
-        # of all; as the roomier of the holders are chosen, it lies half way. Where all hold all, this
-        # gateway chose whom it hears, and the plain mean holds.
-        weights = [pipe.report_weight(now) + 0.01 for pipe in heard]
-        uses = [min(1.0, pipe.use) for pipe in heard]
+        reported = [each.link for each in self.servers.values() if each.link.use is not None]
+        self.has_reports = bool(reported)
+        # Reports arrive only from servers where own sessions play. If titles are on few servers, these are
+        # mostly busy ones: if servers were sampled in proportion to use, the harmonic mean would estimate
+        # the mean of all; because the least loaded holders are chosen, the estimate lies half way. If every
+        # server holds every title, this gateway chose the servers itself, and the arithmetic mean is right.
+        weights = [link.report_weight(now) + 0.01 for link in reported]
+        uses = [min(1.0, link.use) for link in reported]
         total = sum(weights) or 1.0
-        plain = sum(use * weight for use, weight in zip(uses, weights, strict=True)) / total
+        arithmetic = sum(use * weight for use, weight in zip(uses, weights, strict=True)) / total
         inverse = (
             sum(weight / max(MIN_AVERAGED_USE, use) for use, weight in zip(uses, weights, strict=True))
             / total
         )
-        part = (1 - self.holder_share) / 2
-        self.mean_use = plain * (1 - part) + part / inverse if heard else 0.0
+        harmonic_weight = (1 - self.holder_share) / 2
+        self.mean_use = arithmetic * (1 - harmonic_weight) + harmonic_weight / inverse if reported else 0.0
         racks = len(self.uplinks)
-        self.uplink_demand, self.known_uplink_demand, links = [0.0] * racks, [0.0] * racks, [0.0] * racks
-        for each in listed:  # a link asked for several times its rate still carries no more
+        self.uplink_demand, self.known_uplink_demand, link_capacity = (
+            [0.0] * racks,
+            [0.0] * racks,
+            [0.0] * racks,
+        )
+        for each in listed:  # a link never carries more than its rate, whatever the demand
             link = each.link
             self.uplink_demand[each.rack] += min(link.demand_kb(now, self.mean_use), link.limit_kb)
             self.known_uplink_demand[each.rack] += min(
                 link.known_demand_kb(now, self.mean_use), link.limit_kb
             )
-            links[each.rack] += link.limit_kb * self._warmth(now, each)
-        for rack, pipe in enumerate(self.uplinks):
-            if pipe.use is not None:
-                self.uplink_demand[rack] = self.known_uplink_demand[rack] = pipe.demand_kb(now, self.mean_use)
-        own = sum(1 for each in listed if each.sessions) / max(1, len(listed))
-        fill = FILL_WITHOUT_SESSIONS + (FILL_WITH_SESSIONS - FILL_WITHOUT_SESSIONS) * own
-        self.fleet_capacity_kb = fill * sum(
-            min(link, pipe.limit_kb) for link, pipe in zip(links, self.uplinks, strict=True)
+            link_capacity[each.rack] += link.limit_kb * self._warmth(now, each)
+        for rack, uplink in enumerate(self.uplinks):
+            if uplink.use is not None:
+                self.uplink_demand[rack] = self.known_uplink_demand[rack] = uplink.demand_kb(
+                    now, self.mean_use
+                )
+        own_share = sum(1 for each in listed if each.sessions) / max(1, len(listed))
+        usable_share = FILL_WITHOUT_SESSIONS + (FILL_WITH_SESSIONS - FILL_WITHOUT_SESSIONS) * own_share
+        self.fleet_capacity_kb = usable_share * sum(
+            min(link, uplink.limit_kb) for link, uplink in zip(link_capacity, self.uplinks, strict=True)
         )
 
     def _highest_affordable_rung(self, now: int, session: _Session) -> int:
-        """Give the highest rung whose last step is worth its rate at the going price of room.
+        """Return the highest rung whose last step is worth its rate at the current price of capacity.
 
-        Trunk reservation: the room goes to the steps that earn most for a kB. Were all sessions of this
-        gateway set at one price, their rates would fill its part of the fleet's room: that price holds. At
-        light use every step is worth its rate, so sessions go at the viewer's top rung. May hurt when this
-        gateway's sessions are unlike the others'.
+        Trunk reservation: capacity goes to the steps with the most worth per kB. The price is the one at
+        which the rates of all sessions of this gateway would fill its share of the fleet's capacity. At
+        light load every step is worth its rate, so sessions get the viewer's top rung. Drawback: the price
+        is off if this gateway's sessions differ from those of the others.
         """
         if now - self.price_at >= TOTALS_PERIOD_US:
             self.price_at = now
             self.price = self._compute_price(now, session)
         rung = session.service.floor
         for upper, density in self._ladder_steps(session):
-            level, part = self.price
-            if density < level or (density == level and self.random.random() >= part):
+            price, fitting_share = self.price
+            if density < price or (density == price and self.random.random() >= fitting_share):
                 break
             rung = upper
         return rung
 
     def _compute_price(self, now: int, requester: _Session) -> tuple[float, float]:
-        """Give the marginal step's worth for a kB and the part of such steps that still fits."""
+        """Return the worth per kB of the marginal step and the share of such steps that still fits."""
         while self.unserved and self.unserved[0][0] < now - UNSERVED_DEMAND_US:
             self.unserved.popleft()
-        mine = [each for each in self.sessions.values() if each.server is not None]
-        # The asker counts at the middle rung: a gateway just started has no session to tell its part by, and
-        # would hand top rungs to all who come to it in the middle of an overload.
-        own = sum(each.rate_kb for each in mine)
+        placed = [each for each in self.sessions.values() if each.server is not None]
+        # The requester counts at the middle rung: a gateway that has just started has no sessions to derive
+        # its share from, and in an overload it would grant the top rung to every request.
+        own_kb = sum(each.rate_kb for each in placed)
         if requester.server is None:
-            mine.append(requester)
-            own += self._rate_kb(requester, min(requester.best_rung, len(self.settings.rung_kb) // 2))
-        need = sum(self.uplink_demand)
-        if need <= 0:
+            placed.append(requester)
+            own_kb += self._rate_kb(requester, min(requester.best_rung, len(self.settings.rung_kb) // 2))
+        demand_kb = sum(self.uplink_demand)
+        if demand_kb <= 0:
             return 0.0, 1.0
-        left = (
-            own * self.fleet_capacity_kb / need
+        capacity_kb = (
+            own_kb * self.fleet_capacity_kb / demand_kb
             if self.has_reports
             else self.fleet_capacity_kb / self.settings.instances
         )
         steps: dict[float, float] = {}
-        for each in [*mine, *(session for _, session in self.unserved)]:
+        for each in [*placed, *(session for _, session in self.unserved)]:
             below = self._rate_kb(each, each.service.floor)
-            left -= below
+            capacity_kb -= below
             for upper, density in self._ladder_steps(each):
                 kb = self._rate_kb(each, upper)
                 steps[density] = steps.get(density, 0.0) + kb - below
                 below = kb
         for density in sorted(steps, reverse=True):
-            if steps[density] > left:
-                return density, max(0.0, left / steps[density])
-            left -= steps[density]
+            if steps[density] > capacity_kb:
+                return density, max(0.0, capacity_kb / steps[density])
+            capacity_kb -= steps[density]
         return 0.0, 1.0
 
     def _ladder_steps(self, session: _Session) -> list[tuple[int, float]]:
-        """Give the class's steps above its floor as (rung, worth gained for a kB), best first.
+        """Return the class's steps above its floor as (rung, worth gained per kB), best first.
 
-        Rungs off the upper hull of worth over rate are left out: the next one earns more for a kB.
+        Rungs below the upper convex hull of worth over rate are skipped: the next one gains more per kB.
         """
         worth, service = self.settings.rung_worth, session.service
         steps: list[tuple[int, float]] = []
-        at, top = service.floor, min(service.top, len(worth) - 1, session.best_rung)
-        while at < top:
-            start = self._rate_kb(session, at)
-            density, at = max(
-                (service.worth * (worth[up] - worth[at]) / max(1e-9, self._rate_kb(session, up) - start), up)
-                for up in range(at + 1, top + 1)
+        rung, top = service.floor, min(service.top, len(worth) - 1, session.best_rung)
+        while rung < top:
+            rate_kb = self._rate_kb(session, rung)
+            density, rung = max(
+                (
+                    service.worth
+                    * (worth[up] - worth[rung])
+                    / max(1e-9, self._rate_kb(session, up) - rate_kb),
+                    up,
+                )
+                for up in range(rung + 1, top + 1)
             )
-            steps.append((at, density))
+            steps.append((rung, density))
         return steps
 
     def _rate_kb(self, session: _Session, rung: int) -> float:
@@ -610,22 +628,24 @@
         self.uplink_demand[server.rack] += kb
         self.known_uplink_demand[server.rack] += kb
 
-    # Guards
+    # Limits on attempts and seats, slow start, outlier ejection
 
     def _change_seats(self, session: _Session, by: int) -> None:
         if session.service.seats > 0:
-            key = (session.kind, session.title)
+            key = (session.class_index, session.title)
             self.seats[key] = self.seats.get(key, 0) + by
             if not self.seats[key]:
                 del self.seats[key]
 
     def _may_attempt(self, now: int, session: _Session) -> bool:
-        """Tell whether seats, viewer's rungs, the cap on attempts and their budget allow one more."""
+        """Return whether seats, the viewer's rungs, the attempt limit and the retry budget allow one more."""
         s, service = self.settings, session.service
         if session.best_rung < service.floor or session.attempts >= s.max_attempts:
             return False
         if not session.attempts:
-            return not service.seats or self.seats.get((session.kind, session.title), 0) < service.seats
+            return (
+                not service.seats or self.seats.get((session.class_index, session.title), 0) < service.seats
+            )
         if s.budget:
             for times in (self.retry_times, self.request_times):
                 while times and times[0] <= now - s.budget.span:
@@ -634,13 +654,13 @@
         return True
 
     def _latest_start(self, server: _Server, now: int) -> int:
-        """Give the latest time at which the server may have started, as far as this gateway can tell."""
-        # Sessions handed over when this gateway started show that it took over from another as planned, not
-        # after a crash: then its list is as good as its predecessor's, and says itself who is young.
-        start = server.entry.started if self.is_planned_start else max(server.entry.started, self.started)
+        """Return the latest time at which the server may have started, as far as this gateway knows."""
+        # Sessions handed over at the start show a planned takeover, not a crash: the list is then as good as
+        # the predecessor's and shows which servers started recently.
+        latest = server.entry.started if self.is_planned_start else max(server.entry.started, self.started)
         if server.restart_suspected_at > server.entry.started:
-            start = max(start, server.answered_at if server.answered_at is not None else now)
-        return start
+            latest = max(latest, server.answered_at if server.answered_at is not None else now)
+        return latest
 
     def _warmth(self, now: int, server: _Server) -> float:
         return self._warmth_at_age(now - server.entry.started) if server.entry.started else 1.0
@@ -650,54 +670,54 @@
         return 1.0 if age >= s.warm_up else s.warm_up_from + (1 - s.warm_up_from) * max(0, age) / s.warm_up
 
     def _slow_start_allows(self, now: int, server: _Server) -> bool:
-        """Tell whether a server that may be cold can take one more set-up of this gateway.
-
-        Danger: a returning server looks empty to all gateways at once and falls over under their set-ups.
-        The whole set-ups of a window's budget are dealt out, one after the other, to the gateways in an
-        order that starts elsewhere at each server; each keeps to its part in every window, so all together
-        do. Holds for restarts, successors, unlisted returns after a broken connection and this gateway's
-        own restart. May hurt: a reset that was no restart slows a warm server.
-
-        What left late for want of a connection comes with what is sent a window later: over both times
-        together, parts of the spread are dealt out too that the platform bears in a window (two roots).
-        And this gateway's last life may have sent its part: a server listed as started before this life is
-        left alone until that is past. May hurt: a fleet restarted at once leaves cold servers idle so long.
+        """Return whether slow start allows one more set-up from this gateway to the server.
+
+        A returning server looks empty to all gateways at once and fails under their set-ups. The set-ups of
+        a window's budget are distributed round-robin over the gateways, starting at a different gateway for
+        each server; each gateway keeps to its share in every window, so together they keep the budget. This
+        covers restarts, replacements, unlisted returns after a broken connection and this gateway's own
+        restart. Drawback: a connection reset without a restart slows a warm server.
+
+        A set-up that waits for a connection arrives together with those sent a window later. Over both
+        periods together, the gateways therefore also share the spread that the platform tolerates in a
+        window, twice the square root of the budget. The previous process of this gateway may have used its
+        share: a cold server that started before this process gets no set-ups until that window has passed.
+        Drawback: if the whole fleet restarts at once, cold servers stay idle for that time.
         """
         s = self.settings
-        reach, start = s.overload_window + s.connect_time, server.entry.started
-        while server.set_up_times and server.set_up_times[0] <= now - reach:
+        period, start = s.overload_window + s.connect_time, server.entry.started
+        while server.set_up_times and server.set_up_times[0] <= now - period:
             server.set_up_times.popleft()
         age = now - self._latest_start(server, now)
         if age >= s.warm_up:
             return True
         if start and now - start < s.warm_up:
-            overlap = (
-                PROCESS_OVERLAP_US if self.is_planned_start else 0
-            )  # after a crash no other process of its name is left
-            if start < self.started + overlap and now - self.started < reach + overlap:
+            # after a crash there is no previous process left
+            overlap = PROCESS_OVERLAP_US if self.is_planned_start else 0
+            if start < self.started + overlap and now - self.started < period + overlap:
                 return False
-        warmth = self._warmth_at_age(age - reach)  # as it was when the window began
+        warmth = self._warmth_at_age(age - period)  # at the start of the window
         budget = s.overload_factor * self._stream_count(server) / s.warm_up * warmth * s.overload_window
-        last = sum(1 for at in server.set_up_times if at > now - s.overload_window)
-        both = self._budget_share(server, budget + 2 * math.sqrt(budget))
-        return last < self._budget_share(server, budget) and len(server.set_up_times) < both
+        in_window = sum(1 for at in server.set_up_times if at > now - s.overload_window)
+        period_share = self._budget_share(server, budget + 2 * math.sqrt(budget))
+        return in_window < self._budget_share(server, budget) and len(server.set_up_times) < period_share
 
     def _budget_share(self, server: _Server, budget: float) -> int:
-        """Give this gateway's part of the whole set-ups in a server's budget."""
+        """Return this gateway's share of the whole set-ups in a server's budget."""
         s = self.settings
         rank = (s.instance - int.from_bytes(server.entry.server)) % s.instances
         return (int(budget) + s.instances - 1 - rank) // s.instances
 
     def _record_outcome(self, now: int, server: _Server, event: api.AttemptEnd) -> None:
-        """Learn of a server's health from how an attempt ended.
+        """Update a server's health from the outcome of an attempt.
 
-        Danger: a server that errs at once or stands still looks empty and draws sessions. After a failure
-        others are tried first, for longer with each in a row; when all holders are suspect they are
-        as good as each other, so a fault seen everywhere shuts out nobody.
+        Outlier ejection: a server that fails at once or hangs looks empty and attracts sessions. After a
+        failure other servers are preferred, for longer with each consecutive failure. If all holders are
+        ejected they compare equal, so a fault that affects every server excludes none.
 
-        One that says full is left out for a while, longer each time, or until an own session ends there.
-        Danger: a fleet without places spends its viewers' time on round trips. Also spares the attempts'
-        budget. May hurt where places free unseen: a viewer is refused who would have fitted.
+        A server that replies FULL gets no set-ups for a while, longer each time, or until an own session ends
+        there: with a full fleet, viewers would otherwise spend their time on round trips, and the retry
+        budget would be used up. Drawback: a viewer may be refused although a slot became free unnoticed.
         """
         if event.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
             server.restart_suspected_at, server.answered_at = now, None
@@ -709,11 +729,11 @@
             server.failures += 1
 
     def _is_request_fault(self, event: api.AttemptEnd, session: _Session | None) -> bool:
-        """Tell whether an error is the request's own, as another server gave it one too.
+        """Return whether an error is caused by the request itself, because a second server returned one too.
 
-        Danger: requests that no server can use are answered with errors by all that they are sent to, and a
-        few such viewers make whole fleets suspect and look like demand. The first server's strike is taken
-        back. May hurt where many servers err at once: of those that one request met, none is left out.
+        Every server answers an invalid request with an error, so a few such requests would eject whole
+        fleets and count as demand. The failure recorded for the first server is withdrawn. Drawback: if many
+        servers fail at once, those that one request was sent to are not ejected.
         """
         if session is None or session.error_replies < 2 or event.outcome is not Outcome.ERROR:
             return False
@@ -724,15 +744,15 @@
         return True
 
     def _is_ejected(self, now: int, server: _Server, session: _Session) -> bool:
-        """Tell whether others are to be tried first: after a failure, or while a set-up stays unanswered.
+        """Return whether other servers are preferred: after a failure, or while a set-up is unanswered.
 
-        Paid sessions, lost when a set-up may have run, are not the ones to find out whether it is well again.
+        Paid sessions do not probe a server after a failure: they are lost if a set-up may have run.
         """
         if now < server.ejected_until or (server.failures and session.service.effect is not Effect.FREE):
             return True
         return any(not e.is_playing and now - e.rung_set_at > UNANSWERED_US for e in server.sessions.values())
 
-    # Notes
+    # Reports
 
     def _handle_note(self, now: int, event: api.Note) -> None:
         session = self.sessions.get(event.request)
@@ -747,11 +767,11 @@
         if event.kind is NoteKind.DELIVERED:
             self._handle_short_delivery(now, server, event.value)
             return
-        first = session is not None and session.is_playing and not session.has_own_report
-        seen = now if first else now - self.settings.note_age
+        is_first = session is not None and session.is_playing and not session.has_own_report
+        measured_at = now if is_first else now - self.settings.note_age
         uplink = self.uplinks[server.rack]
         if event.kind is NoteKind.LINK:
-            server.link.record_use(seen, event.value)
+            server.link.record_use(measured_at, event.value)
             if uplink.use is None and now - uplink.uplink_short_at[0] > UPLINK_STEADY_US:
                 if self.uplink_demand[server.rack] > uplink.limit_kb * BUSY_UPLINK_USE:
                     uplink.limit_kb = min(
@@ -759,21 +779,21 @@
                     )
             self._review_rungs(now, server)
         else:
-            uplink.record_use(seen, event.value)
+            uplink.record_use(measured_at, event.value)
         if session is not None and (event.kind is NoteKind.UPLINK or "x1" not in self.settings.load_fields):
-            session.has_own_report = True  # its set-up's own notes are told, later ones are late
+            session.has_own_report = True  # the reports made at set-up are recorded; later ones are delayed
 
     def _record_load(self, now: int, server_id: bytes, load: Iterable[float]) -> None:
         server = self.servers.get(server_id)
         if server is None:
             return
-        pipes = {"x0": server.link, "x1": self.uplinks[server.rack]}
+        accounts = {"x0": server.link, "x1": self.uplinks[server.rack]}
         for name, value in zip(self.settings.load_fields, load, strict=False):
-            if name in pipes and 0 <= value <= MAX_REPORTED_USE:
-                pipes[name].record_use(now - self.settings.note_age, value)
+            if name in accounts and 0 <= value <= MAX_REPORTED_USE:
+                accounts[name].record_use(now - self.settings.note_age, value)
 
     def _record_rung(self, now: int, session: _Session, rung: int) -> None:
-        """Book a change of a session's rung."""
+        """Record a session's new rung and charge the difference in rate."""
         kb = self._rate_kb(session, rung)
         server = self.servers.get(session.server) if session.server is not None else None
         if server is not None:
@@ -781,35 +801,37 @@
         session.rung, session.rate_kb = rung, kb
 
     def _review_rungs(self, now: int, server: _Server) -> None:
-        """Bring sessions cut for want of room, or found playing, to the rung that admission would give now.
+        """Raise sessions with a provisional rung to the rung that admission control would grant now.
 
-        Danger: sessions found playing at the start, and those cut by a trouble that has passed, stay on low
-        rungs while links are idle. Once for each cut, when the server's use is noted, they go through the
-        slot test where they play. All gateways hear the note at once, so each takes the part of the room
-        that its sessions are of the use, worthiest first and the last step by lot.
-        May hurt when many viewers are about to come: their room is taken.
+        Otherwise sessions found playing at the start, and those lowered during a past shortage, stay on low
+        rungs while links are idle. They are tested once for each cut, when their server's use is reported.
+        All gateways get the report at the same time, so each claims the share of the free capacity that its
+        sessions have in the use: sessions with the highest worth first, the last step at random.
+        Drawback: if many viewers are about to arrive, the capacity is already taken.
         """
-        waiting = [
+        provisional = [
             e for e in server.sessions.values() if e.rung_is_provisional and e.is_playing and not e.is_settled
         ]
-        waiting = [e for e in waiting if now - e.rung_set_at >= RUNG_REVIEW_DELAY_US]
-        if not waiting:
+        provisional = [e for e in provisional if now - e.rung_set_at >= RUNG_REVIEW_DELAY_US]
+        if not provisional:
             return
         self._refresh_totals(now)
-        link = (
+        link_growth = (
             server.link.limit_kb
             * self._warmth(now, server)
             / max(1.0, server.link.demand_kb(now, self.mean_use))
         )
         growth = MAX_UTILISATION * min(
-            link, self.uplinks[server.rack].limit_kb / max(1.0, self.uplink_demand[server.rack])
+            link_growth, self.uplinks[server.rack].limit_kb / max(1.0, self.uplink_demand[server.rack])
         )
-        room = (growth - 1) * sum(each.rate_kb for each in server.sessions.values() if each.is_playing)
-        for session in sorted(waiting, key=lambda e: (-e.service.worth, e.request)):
+        free_kb = (growth - 1) * sum(each.rate_kb for each in server.sessions.values() if each.is_playing)
+        for session in sorted(provisional, key=lambda e: (-e.service.worth, e.request)):
             for rung in range(self._highest_affordable_rung(now, session), session.rung, -1):
-                more = self._rate_kb(session, rung) - session.rate_kb
-                if more <= room or (rung == session.rung + 1 and self.random.random() * more < room):
-                    room -= more
+                extra_kb = self._rate_kb(session, rung) - session.rate_kb
+                if extra_kb <= free_kb or (
+                    rung == session.rung + 1 and self.random.random() * extra_kb < free_kb
+                ):
+                    free_kb -= extra_kb
                     session.rung_is_provisional = False
                     self._record_rung(now, session, rung)
                     self.actions.append(api.SetRung(session.request, rung))
@@ -818,29 +840,29 @@
     # Step-down
 
     def _handle_short_delivery(self, now: int, server: _Server, share: float) -> None:
-        """Step rungs down where delivery is really short.
+        """Lower rungs at a server whose measured delivery falls short.
 
-        Danger: a link or uplink that gives less than told, or titles far above their rung's rate, starve
-        every session there, and each missing point costs several of worth. Each gateway takes its sessions
-        there down to what is delivered, least worth for a kB first, once, then waits for notes to show it.
-        May hurt when the shortness passes by itself: the steps stay.
+        A link or uplink below its configured rate, or titles far above their rung's rate, starve every
+        session there, and each missing percent costs several of worth. Each gateway lowers its sessions to
+        the delivered rate once, least worth per kB first, then waits for reports of the effect.
+        Drawback: a shortage that passes by itself still lowers the rungs.
         """
         s = self.settings
-        if share < DEAD_BELOW_SHARE:  # its sessions get nothing: as good as a failed set-up
+        if share < DEAD_BELOW_SHARE:  # its sessions get no data: equivalent to a failed set-up
             server.failures, server.ejected_until = max(1, server.failures), now + EJECTION_US
         uplink = self.uplinks[server.rack]
-        last, by = uplink.last_short_report
+        last_at, last_server = uplink.last_short_report
         uplink.last_short_report = now, server.entry.server
-        others = by != server.entry.server and now - last < STEP_DOWN_DELAY_US
+        another_is_short = last_server != server.entry.server and now - last_at < STEP_DOWN_DELAY_US
         if (
-            others
+            another_is_short
             and DEAD_BELOW_SHARE <= share
             and uplink.use is None
             and (server.link.use or 1.0) < BUSY_LINK_USE
         ):
-            # Danger: uplinks differ from what is told, and where nothing reports them only a share that is
-            # short beside a link with room shows it. May hurt when the link's note is old.
-            uplink.uplink_short_at = now, by
+            # Uplinks differ from their configured rate. Without uplink reports, the only sign is short
+            # delivery on a link with free capacity. Drawback: the link's report may be old.
+            uplink.uplink_short_at = now, last_server
             uplink.limit_kb = max(
                 uplink.limit_kb * (1 - UPLINK_DECREASE * (1 - share)), s.uplink_kb * MIN_UPLINK_FACTOR
             )
@@ -851,24 +873,24 @@
             return
         server.stepped_down_at = now
         playing = [each for each in server.sessions.values() if each.is_playing and not each.is_settled]
-        excess = sum(each.rate_kb for each in playing) * (1 - share * STEP_DOWN_TARGET)
+        excess_kb = sum(each.rate_kb for each in playing) * (1 - share * STEP_DOWN_TARGET)
         steps = []
         for session in playing:
-            below = session.service.floor
+            lower = session.service.floor
             for upper, density in self._ladder_steps(session):
                 if upper <= session.rung:
-                    steps.append((density, session.request, below, session))
-                below = upper
+                    steps.append((density, session.request, lower, session))
+                lower = upper
         steps.sort(key=lambda each: each[:2])
         changed: dict[int, _Session] = {}
-        for _, _, below, session in steps:
-            saved = session.rate_kb - self._rate_kb(session, below)
-            # By lot where a step saves more than is missing: many gateways hold one session each here, and
-            # if all stepped down for a tenth that is missing, half of the link would stay empty.
-            if excess <= 0 or self.random.random() * saved >= excess:
+        for _, _, lower, session in steps:
+            saved_kb = session.rate_kb - self._rate_kb(session, lower)
+            # A step that saves more than the excess is taken at random: if many gateways have one session
+            # each here and all stepped down for a missing tenth, half of the link would stay idle.
+            if excess_kb <= 0 or self.random.random() * saved_kb >= excess_kb:
                 break
-            excess -= saved
-            self._record_rung(now, session, below)
+            excess_kb -= saved_kb
+            self._record_rung(now, session, lower)
             session.rung_is_provisional, session.rung_set_at = True, now
             changed[session.request] = session
         self.actions += [api.SetRung(session.request, session.rung) for session in changed.values()]
--- a/mintmast/http/events.py
+++ b/mintmast/http/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events from bytes (WHATWG HTML, 9.2.6)."""
+"""Parser for server-sent events (WHATWG HTML, 9.2.6)."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 import msgspec
 
-# bytes of one event; a longer one is from no sender of ours
+# bytes of one event; valid senders send no longer ones
 MAX_EVENT_BYTES = 65_536
 
 
 class EventReader:
-    """Reads `event` and `data` fields; other fields and comments are passed over."""
+    """Parse `event` and `data` fields; other fields and comments are ignored."""
 
     def __init__(
         self, on_event: Callable[[str, dict[str, Any]], None], max_bytes: int = MAX_EVENT_BYTES
     ) -> None:
-        self._take, self._max_bytes = on_event, max_bytes
+        self._on_event, self._max_bytes = on_event, max_bytes
         self._partial_line = b""
         self._kind = ""
         self._data: list[str] = []
         self._size = 0
 
     def feed(self, data: bytes) -> bool:
-        """Take bytes; False where they are no events and the line had better be closed."""
+        """Parse bytes; return False if they are invalid and the connection should be closed."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) > self._max_bytes:
             return False
@@ -58,5 +58,5 @@
             return False
         if not isinstance(fields, dict):
             return False
-        self._take(kind or "message", fields)
+        self._on_event(kind or "message", fields)
         return True
--- a/mintmast/http/server.py
+++ b/mintmast/http/server.py
@@ -1,10 +1,10 @@
-"""The server: parses with httptools, hands over an `Exchange` a request, answers in order.
+"""HTTP server: parse requests with httptools, pass each to a handler as an `Exchange`, answer in order.
 
-RFC 9112, 9.3: pipelined requests are answered in the order in which they came.
+Pipelined requests are answered in the order in which they were received (RFC 9112, 9.3).
 
-Bounds of a connection come with `ServerLimits`. What is malformed, too large or too slow is answered with its
-status and closed. A peer that ends its side while an answer is owed counts as gone: players do not
-half-close.
+`ServerLimits` bounds each connection. Malformed, oversized and slow requests get an error status, and the
+connection is closed. A peer that closes its side before it has its answer counts as disconnected: players
+do not half-close.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from mintmast.loop import CloseReason, Handler, Loop, Stream, Timer
 
 Headers = list[tuple[str, str]]
-# header lines of one request: browsers send twenty or so
+# header fields of one request; browsers send about twenty
 MAX_HEADER_FIELDS = 100
 
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """Bounds of a connection: bytes, counts, microseconds."""
+    """Limits of a server and its connections in bytes, counts and microseconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 65_536
@@ -41,7 +41,7 @@
 
 
 class Exchange:
-    """One request and its one answer; later answers are ignored, as the first has been given."""
+    """A request and its single response; further responses are ignored."""
 
     __slots__ = (
         "_output",
@@ -72,7 +72,7 @@
         self._output: list[bytes] = []
 
     def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
-        """Give the one answer."""
+        """Send the response."""
         if self.is_answered:
             return
         self.is_answered = True
@@ -84,7 +84,7 @@
     def respond_problem(
         self, status: int, title: str, detail: str = "", headers: Headers | None = None
     ) -> None:
-        """Answer with problem details (RFC 9457)."""
+        """Send a response with problem details (RFC 9457)."""
         details = {"type": "about:blank", "status": status, "title": title}
         if detail:
             details["detail"] = detail
@@ -92,27 +92,27 @@
         self.respond(status, [("Content-Type", "application/problem+json"), *(headers or [])], body)
 
     def start_stream(self, status: int, headers: Headers) -> None:
-        """Begin an answer of unknown length, in chunks; `send` and `finish` follow."""
+        """Start a chunked response of unknown length; `send_chunk` and `finish_stream` follow."""
         self.is_streaming = True
         self._output.append(self._format_head(status, headers, None))
         self.connection.flush()
 
     def send_chunk(self, data: bytes) -> bool:
-        """Send a chunk; False where the peer lags behind."""
+        """Send a chunk; return False if the peer reads too slowly."""
         if self.is_answered or not data:
             return True
         self._output.append(b"%x\r\n%b\r\n" % (len(data), data))
         return self.connection.flush()
 
     def finish_stream(self) -> None:
-        """End a streamed answer."""
+        """End a chunked response."""
         if not self.is_answered:
             self.is_answered = True
             self._output.append(b"0\r\n\r\n")
             self.connection.flush()
 
     def abort(self) -> None:
-        """Break the connection without an answer."""
+        """Break the connection without a response."""
         self.is_answered = True
         self.connection.abort()
 
@@ -132,7 +132,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
     def take_output(self) -> bytes:
-        """Give what is ready to be written."""
+        """Return and clear the output that is ready to be written."""
         data, self._output = b"".join(self._output), []
         return data
 
@@ -144,7 +144,7 @@
 
 
 class HttpServer:
-    """Listens on an address and calls `handle` with each exchange."""
+    """An HTTP server that listens on an address and calls `handle` with each exchange."""
 
     def __init__(
         self,
@@ -160,7 +160,7 @@
         self.port = self._listener.port
 
     def close(self) -> None:
-        """Accept no more and break what is open."""
+        """Stop accepting and break all open connections."""
         self._listener.close()
         for connection in list(self.connections):
             connection.abort()
@@ -172,7 +172,7 @@
         self._stream: Stream | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._queue: deque[Exchange] = deque()
-        self._parsing: Exchange | None = None  # being parsed
+        self._parsing: Exchange | None = None  # the request being parsed
         self._received_bytes = self._body_size = self._header_count = self._header_size = 0
         self._url = b""
         self._is_closing = self._is_closed = False
@@ -180,7 +180,7 @@
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
 
-    # From the loop
+    # Callbacks of the loop
 
     def opened(self, stream: Stream) -> None:
         self._stream = stream
@@ -225,7 +225,7 @@
                     exchange.on_disconnect()
         self._queue.clear()
 
-    # From the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
         self._headers, self._body, self._body_size, self._url = {}, [], 0, b""
@@ -244,8 +244,8 @@
         key = name.decode("latin-1").lower()
         if key == "host" and key in self._headers:  # RFC 9112, 3.2
             raise _BadRequestError(400, "more than one Host field")
-        told = value.decode("latin-1")
-        self._headers[key] = f"{self._headers[key]}, {told}" if key in self._headers else told
+        text = value.decode("latin-1")
+        self._headers[key] = f"{self._headers[key]}, {text}" if key in self._headers else text
 
     def on_headers_complete(self) -> None:
         length = self._headers.get("content-length", "0")
@@ -285,10 +285,10 @@
             self._stream.pause()
         self._server.handle(exchange)
 
-    # Answers
+    # Responses
 
     def flush(self) -> bool:
-        """Write what is ready, in order; False where the peer lags behind."""
+        """Write responses in order as far as they are ready; return False if the peer reads too slowly."""
         if self._is_closed or self._stream is None:
             return False
         ready = True
--- a/mintmast/loop/memory.py
+++ b/mintmast/loop/memory.py
@@ -1,7 +1,7 @@
-"""A network in memory with a virtual clock: the same seed gives the same run, and nothing ever waits.
+"""A simulated network with a virtual clock: runs are reproducible from the seed and on_datagram no real time.
 
-Every machine of the world is a `Node`, which is a `Loop` of its own; the `World` holds the one clock. Bytes
-take a drawn time between nodes and keep their order; a node may be killed, paths may be slowed or cut.
+Every machine is a `Node`, which is a `Loop` of its own; the `World` holds the clock. Bytes are delivered in
+order after a random delay; nodes may be killed, and paths may be delayed or cut.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, Handler, StreamLimits, Timer, Timers
 
-EPOCH_S = 1_800_000_000  # s; the wall clock of every world at its start
-CONNECT_TIMEOUT_US = 3_000_000  # µs; a connection into a cut path is given up by the network after this
+EPOCH_S = 1_800_000_000  # s since 1970; the wall clock of every world at virtual time 0
+CONNECT_TIMEOUT_US = 3_000_000  # µs until a connection attempt over a cut path fails
 
 
 @dataclass(slots=True)
 class PathConditions:
-    """What befalls what goes one way between two machines; parts are of all datagrams, or of all writes.
+    """Faults of one direction between two machines; rates are shares of all datagrams or of all writes.
 
-    `cut`: nothing comes, TCP tries on. `swallows`: TCP connections open and stay open, and nothing comes.
-    `late` in µs. `short`: a write comes by half, then the connection breaks.
+    `is_cut`: nothing arrives and TCP retransmits. `is_black_hole`: TCP connections open and stay open, but
+    no data arrives. `extra_delay` is in µs. `truncation`: half of a write arrives, then the stream breaks.
     """
 
     is_cut: bool = False
@@ -35,7 +35,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether most of what is sent comes."""
+        """Return whether most of the traffic arrives."""
         return not (self.is_cut or self.is_black_hole) and self.loss < 0.5 and self.truncation < 0.5
 
 
@@ -43,7 +43,7 @@
 
 
 class World:
-    """All nodes, one clock, one seed. `latency` is the range of one way between nodes in microseconds."""
+    """All nodes, with one clock and one seed. `latency` is the range of the one-way delay in µs."""
 
     def __init__(self, seed: int, latency: tuple[int, int] = (100, 900)) -> None:
         self.random = random.Random(seed)
@@ -51,54 +51,56 @@
         self.time = 1_000_000
         self.nodes: dict[str, Node] = {}
         self.cut_paths: set[tuple[str, str]] = set()
-        self.extra_delays: dict[tuple[str, str], int] = {}  # µs more, one way
-        self.loss = self.duplication = 0.0  # parts of all datagrams
+        self.extra_delays: dict[tuple[str, str], int] = {}  # additional one-way delay in µs
+        self.loss = self.duplication = 0.0  # shares of all datagrams
         self.path_conditions: dict[tuple[str, str], PathConditions] = {}
         self._timers = Timers()
 
     def node(self, name: str) -> Node:
-        """Make the machine `name`, or make it anew after `kill`."""
+        """Create the machine `name`, or create it again after `kill`."""
         old = self.nodes.get(name)
         node = self.nodes[name] = Node(self, name, old.skew if old else 0.0)
         return node
 
-    def at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call at a time of the world, whichever nodes live then."""
-        return self._timers.add(max(when, self.time), do, args)
+    def at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call at a time of the virtual clock, whether or not any node is alive then."""
+        return self._timers.add(max(when, self.time), callback, args)
 
     def run(self, until: int) -> None:
-        """Let the world go on to the time `until`."""
-        while (due := self._timers.next()) is not None and due <= until:
-            timer = self._timers.pop(due)
+        """Run all callbacks up to the time `until`."""
+        while (next_at := self._timers.next()) is not None and next_at <= until:
+            timer = self._timers.pop(next_at)
             if timer is not None and timer.callback is not None:
-                self.time = max(self.time, due)
+                self.time = max(self.time, next_at)
                 timer.callback(*timer.args)
         self.time = max(self.time, until)
 
     def draw_delay(self, source: str, target: str) -> int | None:
-        """Draw the time of one way; None where the path is cut."""
-        way = self.conditions_between(source, target)
-        if (source, target) in self.cut_paths or way.is_cut:
+        """Draw the delay of one transmission in µs; return None if the path is cut."""
+        conditions = self.conditions_between(source, target)
+        if (source, target) in self.cut_paths or conditions.is_cut:
             return None
         return (
-            self.random.randint(*self.latency) + self.extra_delays.get((source, target), 0) + way.extra_delay
+            self.random.randint(*self.latency)
+            + self.extra_delays.get((source, target), 0)
+            + conditions.extra_delay
         )
 
     def conditions_between(self, source: str, target: str) -> PathConditions:
-        """Give what befalls what goes from one node to another."""
+        """Return the faults of the direction from one node to another."""
         return self.path_conditions.get((source, target), NO_FAULTS)
 
     def reset_connections(self, one: str, other: str) -> None:
         """Reset all connections between two nodes."""
         for name, peer in ((one, other), (other, one)):
             node = self.nodes.get(name)
-            for end in list(node._streams) if node is not None else ():
-                if end.other is not None and end.other.node.name == peer:
-                    node.run_callback(end.end, CloseReason.RESET)
+            for endpoint in list(node._streams) if node is not None else ():
+                if endpoint.other is not None and endpoint.other.node.name == peer:
+                    node.run_callback(endpoint.end, CloseReason.RESET)
 
 
 class Node:
-    """A machine of the world: its timers, listeners and streams die with it."""
+    """A machine; its timers, listeners and streams end when it is killed."""
 
     def __init__(self, world: World, name: str, skew: float) -> None:
         self.world, self.name, self.skew = world, name, skew
@@ -111,52 +113,52 @@
         self.longest_turn = self.turns = 0
 
     def now(self) -> int:
-        """Give the microseconds of the world's clock."""
+        """Return the virtual time in microseconds."""
         return self.world.time
 
     def wall(self) -> float:
-        """Give the seconds since 1970, with this node's skew."""
+        """Return the wall clock in seconds since 1970, including this node's skew."""
         return EPOCH_S + self.world.time / 1e6 + self.skew
 
-    def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` at `when` if the node still lives."""
-        timer = Timer(when, do, args)
+    def call_at(self, when: int, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` at `when` if the node is still alive."""
+        timer = Timer(when, callback, args)
         self.world.at(when, self._run_timer, timer)
         return timer
 
-    def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
-        """Call `do(*args)` after what is going on."""
-        return self.call_at(self.world.time, do, *args)
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Timer:
+        """Call `callback(*args)` after the current callback."""
+        return self.call_at(self.world.time, callback, *args)
 
     def _run_timer(self, timer: Timer) -> None:
         if timer.callback is not None:
             self.run_callback(timer.callback, *timer.args)
 
-    def run_callback(self, what: Callable[..., Any], *args: Any) -> None:
-        """Run a callback of this node: now, after a stand-still, or never if it is dead."""
+    def run_callback(self, callback: Callable[..., Any], *args: Any) -> None:
+        """Run a callback of this node now, defer it while the node is frozen, or drop it after `kill`."""
         if not self.alive:
             return
         if self.frozen_calls is not None:
-            self.frozen_calls.append((what, args))
+            self.frozen_calls.append((callback, args))
             return
-        what(*args)
+        callback(*args)
 
     def freeze(self) -> None:
-        """Stand still: what comes waits."""
+        """Suspend the node; callbacks are deferred."""
         if self.frozen_calls is None:
             self.frozen_calls = []
 
     def thaw(self) -> None:
-        """Go on, with all that came meanwhile at once."""
+        """Resume the node and run all deferred callbacks at once."""
         waiting, self.frozen_calls = self.frozen_calls or [], None
-        for what, args in waiting:
-            self.run_callback(what, *args)
+        for callback, args in waiting:
+            self.run_callback(callback, *args)
 
     def kill(self) -> None:
-        """Die without warning: peers see their connections break."""
+        """Stop without warning; the peers' connections are reset."""
         self.alive = False
-        for end in list(self._streams):
-            end.break_off()
+        for endpoint in list(self._streams):
+            endpoint.break_off()
         self._listeners.clear()
         self._ports.clear()
         self._streams.clear()
@@ -169,18 +171,18 @@
         backlog: int = 512,
         limits: StreamLimits = DEFAULT_LIMITS,
     ) -> _Listener:
-        """Accept connections; the host name is the node's."""
+        """Accept connections; the host is always this node."""
         self._port += 1
         port = port or self._port
         if port in self._listeners:
-            raise OSError(f"port {port} of {self.name} is taken")
+            raise OSError(f"port {port} of {self.name} is already in use")
         listener = self._listeners[port] = _Listener(self, port, accept, limits)
         return listener
 
     def connect(
         self, host: str, port: int, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS
     ) -> _Endpoint:
-        """Begin to connect to the node `host`."""
+        """Start connecting to the node `host`."""
         ours = _Endpoint(self, handler, limits, (host, port))
         self._streams[ours] = None
         there = self.world.draw_delay(self.name, host)
@@ -192,12 +194,12 @@
         return ours
 
     def open_datagrams(
-        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+        self, host: str, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]
     ) -> _DatagramSocket:
-        """Take and send datagrams; the host name is the node's."""
+        """Open a datagram socket; the host is always this node."""
         if port in self._ports:
-            raise OSError(f"datagram port {port} of {self.name} is taken")
-        bound = self._ports[port] = _DatagramSocket(self, port, take)
+            raise OSError(f"datagram port {port} of {self.name} is already in use")
+        bound = self._ports[port] = _DatagramSocket(self, port, on_datagram)
         return bound
 
     def _accept_connection(self, ours: _Endpoint, host: str, port: int, back: int) -> None:
@@ -225,20 +227,20 @@
 
 
 class _DatagramSocket:
-    """A port for datagrams."""
+    """A datagram socket of a node."""
 
-    def __init__(self, node: Node, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> None:
-        self.node, self.port, self._take = node, port, take
+    def __init__(self, node: Node, port: int, on_datagram: Callable[[bytes, tuple[str, int]], Any]) -> None:
+        self.node, self.port, self._take = node, port, on_datagram
 
     def send(self, data: bytes, to: tuple[str, int]) -> None:
         world = self.node.world
-        way = world.conditions_between(self.node.name, to[0])
-        if way.is_black_hole:
+        conditions = world.conditions_between(self.node.name, to[0])
+        if conditions.is_black_hole:
             return
-        lost, doubled = max(world.loss, way.loss), max(world.duplication, way.duplication)
-        for _ in range(1 + (world.random.random() < doubled)):
+        loss, duplication = max(world.loss, conditions.loss), max(world.duplication, conditions.duplication)
+        for _ in range(1 + (world.random.random() < duplication)):
             delay = world.draw_delay(self.node.name, to[0])
-            if delay is not None and world.random.random() >= lost:
+            if delay is not None and world.random.random() >= loss:
                 world.at(world.time + delay, self._arrive, bytes(data), to)
 
     def _arrive(self, data: bytes, to: tuple[str, int]) -> None:
@@ -262,8 +264,8 @@
         self._closing = self._paused = self._backlog = False
         self._queued_before_open: list[bytes] = []
         self._inbox: deque[bytes | CloseReason] = deque()
-        self._in_flight = 0  # bytes on the way to the other side or unread there
-        self._last_arrival = 0  # arrival of the last thing sent: order is kept
+        self._in_flight = 0  # bytes in transit to the other side or unread there
+        self._last_arrival = 0  # arrival time of the last transmission; later ones do not overtake it
 
     def open(self) -> None:
         if self.is_closed:
@@ -294,52 +296,54 @@
         self.bytes_sent += len(data)
         self._send(bytes(data))
 
-    def _send(self, what: bytes | CloseReason) -> None:
+    def _send(self, payload: bytes | CloseReason) -> None:
         other = self.other
         if other is None:
             return
         world = self.node.world
-        way = world.conditions_between(self.node.name, other.node.name)
-        if way.is_black_hole:
+        conditions = world.conditions_between(self.node.name, other.node.name)
+        if conditions.is_black_hole:
             return
         delay = world.draw_delay(self.node.name, other.node.name)
         if (
-            way.truncation
-            and isinstance(what, bytes)
+            conditions.truncation
+            and isinstance(payload, bytes)
             and delay is not None
-            and world.random.random() < way.truncation
+            and world.random.random() < conditions.truncation
         ):
             self._last_arrival = max(self._last_arrival, world.time + delay)
-            world.at(self._last_arrival, other.node.run_callback, other.arrive, what[: len(what) // 2], self)
+            world.at(
+                self._last_arrival, other.node.run_callback, other.arrive, payload[: len(payload) // 2], self
+            )
             world.at(self._last_arrival, other.node.run_callback, other.end, CloseReason.RESET)
             self.node.call_soon(self.end, CloseReason.RESET)
             return
-        if delay is None:  # cut: TCP tries on, nothing arrives until the path is back
-            world.at(world.time + 50_000, self._send, what)
+        if delay is None:  # cut path: retransmit like TCP until the path is restored
+            world.at(world.time + 50_000, self._send, payload)
             return
         self._last_arrival = max(self._last_arrival, world.time + delay)
-        world.at(self._last_arrival, other.node.run_callback, other.arrive, what, self)
+        world.at(self._last_arrival, other.node.run_callback, other.arrive, payload, self)
 
-    def arrive(self, what: bytes | CloseReason, sender: _Endpoint) -> None:
+    def arrive(self, payload: bytes | CloseReason, sender: _Endpoint) -> None:
         if self.is_closed:
             return
-        if what is CloseReason.RESET:
+        if payload is CloseReason.RESET:
             self.end(CloseReason.RESET)
             return
-        self._inbox.append(what)
+        self._inbox.append(payload)
         self._read()
 
     def _read(self) -> None:
         while self._inbox and not self._paused and not self.is_closed and self.is_open:
-            what = self._inbox.popleft()
-            if isinstance(what, CloseReason):
+            payload = self._inbox.popleft()
+            if isinstance(payload, CloseReason):
                 self.handler.finished()
                 if not self._closing:
                     self.end(CloseReason.EOF)
                 return
             if self.other is not None:
-                self.other._record_read(len(what))
-            self.handler.received(what)
+                self.other._record_read(len(payload))
+            self.handler.received(payload)
 
     def _record_read(self, size: int) -> None:
         self._in_flight -= size
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -1,4 +1,4 @@
-"""What is over is forgotten, and what is the request's fault is not laid on servers."""
+"""State of ended servers and sessions is removed, and servers are not blamed for faulty requests."""
 
 from helpers import T0, S, action_names, attempt_end, make_controller, request, server_entry, set_ups
 
@@ -6,7 +6,7 @@
 from mintmast.interface import Outcome, ServerState
 
 
-def test_servers_that_are_replaced_for_hours_leave_nothing_behind():
+def test_replaced_servers_are_removed():
     gateway = make_controller(4)
     now = T0
     for version in range(2, 400):
@@ -20,7 +20,7 @@
     assert sum(map(len, gateway.by_cell.values())) == len(gateway.servers)
 
 
-def test_a_server_gone_a_moment_ago_is_remembered_when_it_returns():
+def test_a_server_that_returns_soon_keeps_its_state():
     gateway = make_controller(2)
     (first,) = set_ups(gateway.handle(T0, request(1)))
     gateway.handle(T0 + 1000, attempt_end(1, first.server, Outcome.RESET))
@@ -32,7 +32,7 @@
     assert gateway.servers[first.server].restart_suspected_at == T0 + 1000
 
 
-def test_sessions_that_come_and_go_without_notes_leave_no_charges_behind():
+def test_sessions_without_reports_leave_no_charges():
     gateway = make_controller(4)
     for number in range(3000):
         now = T0 + number * S // 10
@@ -44,7 +44,7 @@
     assert not gateway.retry_times and not gateway.sessions
 
 
-def test_further_attempts_are_not_counted_where_no_budget_limits_them():
+def test_retries_are_not_counted_without_a_retry_budget():
     gateway = make_controller(4)
     for number in range(20):
         now = T0 + number * 20 * S
@@ -55,7 +55,7 @@
     assert not gateway.retry_times
 
 
-def test_a_request_that_errs_wherever_it_goes_makes_no_server_suspect_and_no_demand():
+def test_a_request_that_fails_at_every_server_ejects_none_and_is_no_demand():
     gateway = make_controller(4)
     actions = gateway.handle(T0, request(1))
     for attempt in range(4):
@@ -66,7 +66,7 @@
     assert not gateway.unserved
 
 
-def test_a_server_that_errs_where_another_does_not_stays_suspect():
+def test_a_server_stays_ejected_if_another_serves_the_same_request():
     gateway = make_controller(4)
     (first,) = set_ups(gateway.handle(T0, request(1)))
     (second,) = set_ups(gateway.handle(T0 + 1, attempt_end(1, first.server, Outcome.ERROR)))
