--- a/mintmast/signalling/hosts.py
+++ b/mintmast/signalling/hosts.py
@@ -1,8 +1,8 @@
-"""Connections to media hosts: pools by the host's id, set-ups with one truthful result, tests, cuts.
+"""Connection pools to media hosts, keyed by host id: one result for each set-up, health checks, releases.
 
-A connection carries one set-up at a time, so that an answer that cannot be read takes no other with it.
-Before a set-up is written the connection is tested: on one that has silently died a paid set-up could not be
-proved unsent any more. Nothing here chooses a host or tries another.
+A connection carries one set-up at a time, so that a malformed answer fails no other set-up with it. A set-up
+is written only after a health check has passed: on a connection that died silently it could not be proved
+that a paid set-up was never sent. Host selection and retries on another host are the controller's.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 from mintmast.signalling.messages import Cause, MessageKind, Param, encode, encode_release
 
 Address = tuple[str, int]
-# µs between looks at connections
+# µs between checks of all connections
 CHECK_PERIOD_US = 250_000
-# µs after which an idle connection beyond the first is given back
+# µs of idleness after which a connection beyond the first is closed
 SPARE_IDLE_US = 4_000_000
-# part of the connections in use from which spare ones are given back also where sessions stand
+# share of the connections in use above which spare ones are closed even to hosts with sessions
 SCARCE_SHARE = 0.75
-# bytes that may wait for one host; sessions to be released at a host that cannot be reached just now
+# bounds of a host's stream in bytes, and of the releases queued for a host that cannot be reached
 STREAM_LIMITS, MAX_PENDING_RELEASES = StreamLimits(max_unsent=1 << 18, read_size=1 << 15), 1024
 
 
 class HostEvents(Protocol):
-    """What is told of hosts."""
+    """Callbacks for events of media hosts."""
 
     def handle_answer(self, host: bytes, call_id: bytes, description: bytes) -> None:
-        """Take an answer."""
+        """Process an answer to an attempt."""
 
     def handle_attempt_end(self, host: bytes, call_id: bytes, evidence: Evidence, load: str) -> None:
-        """Take the end of an attempt without an answer."""
+        """Process the end of an attempt without an answer."""
 
     def handle_release(self, host: bytes, call_id: bytes, cause: int, load: str) -> None:
-        """Take a release of what is no attempt that is out."""
+        """Process a release that belongs to no attempt in progress."""
 
     def handle_note(self, host: bytes, call_id: bytes, name: str, text: str) -> None:
-        """Take a note."""
+        """Process a note about a session."""
 
-    def handle_host_death(self, host: bytes, when: int, why: str) -> None:
-        """Take it that the host's process was gone at `when`, and what stood there with it."""
+    def handle_host_death(self, host: bytes, when: int, reason: str) -> None:
+        """Process the death of the host's process, observed at `when`; its sessions ended with it."""
 
     def has_sessions(self, host: bytes) -> bool:
-        """Tell whether sessions stand at the host, so that a connection to it is to be kept."""
+        """Return whether sessions play at the host, so that a connection to it must be kept."""
 
 
 @dataclass(slots=True)
 class HostLimits:
-    """Bounds, in microseconds and connections; all from the settings."""
+    """Timeouts in µs, and the largest number of connections; all from the settings."""
 
     connect_timeout: int
     idle_timeout: int
@@ -59,17 +59,17 @@
 
 
 class MediaHosts:
-    """All pools. `events` hears what hosts say and what is seen of them, never before a call returns."""
+    """All connection pools. Reports to `events`, never before the method that caused the event returns."""
 
     def __init__(self, loop: Loop, events: HostEvents, limits: HostLimits) -> None:
         self.loop, self.events, self.limits = loop, events, limits
         self.pools: dict[bytes, HostPool] = {}
         self.connections_in_use = 0
-        self.address_changes = 0  # times that a host came to an address
+        self.address_changes = 0  # counts hosts' arrivals at an address, to order them
         loop.call_at(loop.now() + CHECK_PERIOD_US, self._check_pools)
 
     def update_host(self, host: bytes, address: Address, is_gone: bool, is_new_process: bool = False) -> None:
-        """Take what the list says of a host; `anew`: its process is another than before."""
+        """Update a host from the list; `is_new_process` if it has restarted."""
         pool = self.pools.get(host)
         if pool is None:
             if is_gone:
@@ -80,19 +80,15 @@
         elif is_new_process:
             pool.record_arrival()
         pool.left_list = is_gone
-        pools_at_address = [
-            pool_at_address
-            for pool_at_address in self.pools.values()
-            if pool_at_address.address == pool.address
-        ]
-        for pool_at_address in pools_at_address:
-            if any(other.replaces(pool_at_address) for other in pools_at_address):
-                pool_at_address.mark_replaced()
+        pools_at_address = [each for each in self.pools.values() if each.address == pool.address]
+        for each in pools_at_address:
+            if any(other.replaces(each) for other in pools_at_address):
+                each.mark_replaced()
             else:
-                pool_at_address.is_replaced = pool_at_address.is_replaced and pool_at_address.left_list
+                each.is_replaced = each.is_replaced and each.left_list
 
     def send_set_up(self, host: bytes, call_id: bytes, frame: bytes, deadline: int) -> None:
-        """Send a set-up; one of `started` and `ended` follows."""
+        """Send a set-up. Exactly one report of its answer or its end follows, unless it is cancelled."""
         pool = self.pools.get(host)
         if pool is None or pool.is_replaced:
             self.loop.call_soon(self.events.handle_attempt_end, host, call_id, Evidence.NOT_CONNECTED, "")
@@ -107,14 +103,14 @@
         pool.assign(attempt)
 
     def cancel_set_up(self, host: bytes, call_id: bytes) -> None:
-        """Give up a set-up; nothing more is told of it."""
+        """Cancel a set-up; nothing more is reported about it."""
         pool = self.pools.get(host)
         attempt = pool.attempts.get(call_id) if pool is not None else None
         if pool is not None and attempt is not None:
             pool.cancel_attempt(attempt)
 
     def withdraw_unsent(self, host: bytes, call_id: bytes) -> bool:
-        """Give up a set-up that was not written yet; False where there is none, and nothing changes."""
+        """Cancel a set-up that was not written yet. Return False, without a change, if there is none."""
         pool = self.pools.get(host)
         attempt = pool.attempts.get(call_id) if pool is not None else None
         if pool is None or attempt is None or attempt.end_offset is not None:
@@ -123,22 +119,22 @@
         return True
 
     def release_session(self, host: bytes, call_id: bytes) -> None:
-        """End a session, at once or with the next connection."""
+        """Release a session, at once or on the next connection."""
         pool = self.pools.get(host)
         if pool is not None:
             pool.release_session(call_id)
 
     def send_rung(self, host: bytes, call_id: bytes, rung: int) -> None:
-        """Tell a new rung, where a connection is open."""
+        """Send a new rung if a connection is open."""
         pool = self.pools.get(host)
         connection = pool.latest_connection() if pool is not None else None
         if connection is not None:
             connection.write(encode(MessageKind.RUNG, call_id, [(Param.RUNG, b"%d" % rung)]))
 
     def has_capacity(self) -> bool:
-        """Tell whether there may be one more connection; a spare one goes for it, the one unused for longest.
+        """Return whether one more connection is allowed; closes the least recently used spare one for it.
 
-        Danger: spare connections to hosts that are not chosen any more would keep all others out.
+        Otherwise spare connections to hosts that are no longer selected would exhaust the limit.
         """
         if self.connections_in_use >= self.limits.max_connections:
             spare = [connection for pool in self.pools.values() for connection in pool.spare_connections()]
@@ -160,7 +156,7 @@
 
 
 class HostPool:
-    """All connections to one host, keyed by its id: another host may come to its address."""
+    """All connections to one host. Pools are keyed by id, as another host may take over its address."""
 
     def __init__(self, hosts: MediaHosts, host: bytes, address: Address) -> None:
         self.hosts, self.host, self.address = hosts, host, address
@@ -174,15 +170,15 @@
         self.record_arrival()
 
     def record_arrival(self) -> None:
-        """Take it that the host has just come to its address."""
+        """Record that the host has just arrived at its address."""
         self.hosts.address_changes += 1
         self._arrival_number = self.hosts.address_changes
 
     def change_address(self, address: Address) -> None:
-        """Take another address; set-ups not written yet go there, and so does what comes later.
+        """Use another address, also for the set-ups that were not written yet.
 
-        Danger: the old address may be another host's by now, and a set-up written there would run at a host
-        that its session may not go to.
+        The old address may be another host's by now, and a set-up written there would run at a host that its
+        session may not use.
         """
         self.address = address
         self.record_arrival()
@@ -199,7 +195,7 @@
             self.assign(attempt)
 
     def replaces(self, other: HostPool) -> bool:
-        """Tell whether this host came to the other's address later: the other is not reached there now."""
+        """Return whether this host took over the other's address; the other is not reachable there."""
         return (
             self is not other
             and not self.left_list
@@ -207,7 +203,7 @@
         )
 
     def spare_connections(self) -> list[HostConnection]:
-        """Give connections that can go: idle ones to a host where no session stands."""
+        """Return the connections that may be closed: idle ones to a host without sessions."""
         if self.pending_releases or self.hosts.events.has_sessions(self.host):
             return []
         return [connection for connection in self.connections if connection.is_idle]
@@ -215,7 +211,7 @@
     # Set-ups
 
     def assign(self, attempt: Attempt) -> None:
-        """Put a set-up on an idle connection, the one last heard, or on a new one."""
+        """Assign a set-up to the idle connection that received last, or to a new one."""
         idle = [connection for connection in self.connections if connection.is_idle]
         if idle:
             max(idle, key=lambda connection: connection.last_received_at).carry(attempt)
@@ -225,7 +221,7 @@
             self.end_attempt(attempt, Evidence.NOT_CONNECTED)
 
     def connect(self) -> HostConnection:
-        """Begin a new connection."""
+        """Open a new connection."""
         connection = HostConnection(self)
         self.connections.append(connection)
         self.hosts.connections_in_use += 1
@@ -233,7 +229,7 @@
         return connection
 
     def handle_connect_timeout(self, attempt: Attempt) -> None:
-        """End an attempt that found no connection that works in the time for it, and that connection."""
+        """End an attempt that got no working connection in time, and abort the connection it waited for."""
         connection = attempt.connection
         if attempt.end_offset is None:
             self.end_attempt(attempt, Evidence.NOT_CONNECTED)
@@ -242,13 +238,13 @@
                 connection.abort(CloseReason.UNREACHABLE)
 
     def handle_deadline(self, attempt: Attempt) -> None:
-        """Give up an attempt whose time has run out."""
+        """End an attempt at its deadline."""
         was_sent = attempt.end_offset is not None
         self.cancel_attempt(attempt)
         self._report_end(attempt, Evidence.SILENT if was_sent else Evidence.LATE_UNSENT)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Forget an attempt; the host hears that it is given up where it may have heard of it."""
+        """Cancel an attempt, also at the host if the set-up may have reached it."""
         connection = attempt.connection
         self.remove_attempt(attempt)
         if connection is None:
@@ -256,18 +252,19 @@
         connection.attempt = None
         if attempt.end_offset is None:
             return
-        # no answer came on this connection: nothing that stands on it can be trusted to come either
+        # the host did not answer on this connection, so it may not process the release there either: the
+        # connection is closed, and the release is repeated on another one
         connection.write(encode_release(attempt.call_id, Cause.NORMAL_CLEARING))
         connection.close()
         self.release_session(attempt.call_id)
 
     def end_attempt(self, attempt: Attempt, evidence: Evidence, load: str = "") -> None:
-        """Tell the end of an attempt."""
+        """End an attempt and report its evidence."""
         self.remove_attempt(attempt)
         self._report_end(attempt, evidence, load)
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Drop an attempt and its timers; nothing is told."""
+        """Remove an attempt and its timers without a report."""
         self.attempts.pop(attempt.call_id, None)
         for timer in attempt.timers:
             timer.cancel()
@@ -277,10 +274,10 @@
             self.hosts.events.handle_attempt_end, self.host, attempt.call_id, evidence, load
         )
 
-    # Cuts
+    # Releases
 
     def latest_connection(self) -> HostConnection | None:
-        """Give an open connection, the one last heard."""
+        """Return the open connection that received last, if any."""
         connections = [
             connection
             for connection in self.connections
@@ -289,7 +286,7 @@
         return max(connections, key=lambda connection: connection.last_received_at) if connections else None
 
     def release_session(self, call_id: bytes) -> None:
-        """Release what may stand there, now or with the next connection."""
+        """Release a session that the host may hold, now or on the next connection."""
         connection = self.latest_connection()
         if connection is not None:
             connection.release_session(call_id)
@@ -299,13 +296,13 @@
     # Connections
 
     def handle_opened(self, connection: HostConnection) -> None:
-        """Take a new connection, and send what waited for one."""
+        """Send the queued releases on a new connection."""
         self.connect_failures = 0
         while self.pending_releases:
             connection.release_session(self.pending_releases.popleft())
 
     def handle_closed(self, connection: HostConnection, reason: CloseReason) -> None:
-        """Take the end of a connection; without any left, and none to be had, the process is gone."""
+        """Process the end of a connection; if none is left and none can be opened, report the host dead."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.hosts.connections_in_use -= 1
@@ -316,7 +313,7 @@
         if any(each.stream is not None for each in self.connections):
             return
         if reason is CloseReason.EXHAUSTED or connection.is_stale:
-            return  # it says nothing of the host; tried again at the next look
+            return  # no evidence about the host; the next periodic check reconnects
         if reason is CloseReason.REFUSED:
             self._report_dead("refused")
         elif not connection.was_open and reason is not CloseReason.LOCAL:
@@ -331,10 +328,11 @@
             self.connect()
 
     def _reopen_connection(self) -> bool:
-        """Open a connection in place of one that ended, where sessions stand; False where none is needed.
+        """Open a connection in place of one that ended, if sessions play there. Return False if not needed.
 
-        Danger: what the host told on the old one may have crossed its end. It tells ends once more, on the
-        next connection that is opened, and would never be heard by a gateway that keeps to the others.
+        A message of the host about a session's end may have crossed the close of the old connection. The host
+        repeats it on the next connection that opens, so a gateway that only kept its other connections would
+        never receive it.
         """
         if self.is_replaced or not self.hosts.events.has_sessions(self.host):
             return False
@@ -345,19 +343,21 @@
         return True
 
     def mark_replaced(self) -> None:
-        """Take it that another host has the address: what is reached there is no longer this one."""
+        """Report the host dead: another host has its address, so this one is not reachable there."""
         if not self.is_replaced:
             self.is_replaced = True
             for connection in list(self.connections):
                 connection.abort(CloseReason.RESET)
             self._report_dead("replaced")
 
-    def _report_dead(self, why: str) -> None:
+    def _report_dead(self, reason: str) -> None:
         self.pending_releases.clear()
-        self.hosts.loop.call_soon(self.hosts.events.handle_host_death, self.host, self.hosts.loop.now(), why)
+        self.hosts.loop.call_soon(
+            self.hosts.events.handle_host_death, self.host, self.hosts.loop.now(), reason
+        )
 
     def check_connections(self) -> None:
-        """Test quiet connections, end deaf ones, give back spare ones, keep one where sessions stand."""
+        """Check the host's connections: health checks, timeouts, spare ones, and one to keep for sessions."""
         now = self.hosts.loop.now()
         is_needed = bool(self.pending_releases) or self.hosts.events.has_sessions(self.host)
         for connection in list(self.connections):
--- a/mintmast/signalling/set_up_parser.py
+++ b/mintmast/signalling/set_up_parser.py
@@ -1,4 +1,4 @@
-"""Viewers' set-ups, read against the settings: a wish, or the cause for which it cannot be one."""
+"""Parses and validates viewers' set-ups against the settings."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 US_PER_MS = 1000
 _WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
 _TITLE = re.compile(r"[0-9a-fA-F]{16}")
-# bytes that patience, rung and the head take in the set-up to a host
+# bytes reserved for the timeout, the rung and the header, which the gateway adds to the set-up for a host
 _ADDED_BYTES = 64
 _REQUIRED_PARAMS, _NULL_CALL_ID = {Param.CLASS, Param.TITLE, Param.PLACEMENT}, bytes(8)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestSchema:
-    """What set-ups may name: classes with the longest patience of each (µs), tenants.
+    """Classes and tenants that a set-up may name, by index, with each class's longest timeout in µs.
 
     Names are compared as bytes: they come from the settings, which may use any letters.
     """
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ParsedSetUp:
-    """A set-up that can be read; `at` names the host where it plays already, else empty."""
+    """A valid set-up; `playing_host` is the id of the host if the session already plays, else empty."""
 
     request: ViewerRequest
     playing_host: bytes = b""
 
 
 def parse_set_up(message: Message, schema: RequestSchema) -> ParsedSetUp | Cause:
-    """Read a set-up, or give the cause to release it with."""
+    """Parse a set-up, or return the cause to release it with."""
     if message.fault is not None:
         return message.fault
     service = schema.classes.get(message.params.get(Param.CLASS, b""))
@@ -62,7 +62,7 @@
     )
     if not playing_host and (Param.TIMEOUT not in message.params or Param.DESCRIPTION not in message.params):
         return Cause.MANDATORY_ELEMENT_MISSING
-    # without these nobody can tell where the session may go: a guess could name a host without the title
+    # required: they determine which hosts hold the title, and a default could pick one that does not
     home_cell = _parse_integral(placement.get("home", ""), 0, 65_535)
     copies = _parse_integral(placement.get("copies", ""), 1, 65_535)
     best_rung = _parse_integral(placement.get("top", ""), 0, 255)
@@ -121,7 +121,7 @@
 
 
 def _parse_integral(text: str, minimum: int, maximum: int) -> int | None:
-    """Read a whole number that may be written with a point, as the simulator's figures are."""
+    """Parse an integer that may be written with a decimal point, as the simulator writes its numbers."""
     number = parse_number(text)
     if number is None or number != int(number) or not minimum <= number <= maximum:
         return None
@@ -129,13 +129,13 @@
 
 
 def _parse_duration(text: str | None) -> int | None:
-    """Read a span of ms as µs; a day at most."""
+    """Parse a duration in ms, of one day at most, and return it in µs."""
     number = parse_number(text or "")
     return round(number * US_PER_MS) if number is not None and 0 <= number <= 86_400_000 else None
 
 
 def parse_number(text: str) -> float | None:
-    """Read a finite number of at most 32 characters; None where it is none."""
+    """Parse a finite number of at most 32 characters; return None if it is not one."""
     if len(text) > 32 or "_" in text or not text.isascii():
         return None
     try:
--- a/mintmast/signalling/viewerconnection.py
+++ b/mintmast/signalling/viewerconnection.py
@@ -1,4 +1,4 @@
-"""One connection of a viewer's side: messages in, and what is told on it until it can have been heard."""
+"""One connection from viewers: parses their messages, and tracks sent ones until they can have arrived."""
 
 from __future__ import annotations
 
@@ -14,61 +14,58 @@
 if TYPE_CHECKING:
     from mintmast.signalling.viewers import Viewers
 
-# µs that a connection has for its first message, and a message for its last byte: such peers are owed a
-# close within 3 s
+# µs within which a connection's first message, and the last byte of each message, must arrive: the platform
+# requires a close of such connections within 3 s
 MESSAGE_TIMEOUT_US = 2_000_000
-# bytes that a set-up under way takes here and in the module, beside what it carries; and the part of the room
-# for all that one connection may take
+# bytes that a set-up in progress takes here and in the controller beside its parameters, and the share of the
+# memory for all set-ups that one connection may use
 SET_UP_OVERHEAD_BYTES, MAX_CONNECTION_SHARE = 4096, 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class UnconfirmedMessage:
-    """An answer, or the end of a session, that may not have been heard yet."""
+    """A sent answer or session end that may not have reached the viewer."""
 
-    end_offset: int  # what the connection will have handed over once it is whole
+    end_offset: int  # bytes that the connection has handed to the network once it is fully sent
     call_id: bytes
     frame: bytes
-    is_session_end: bool
+    is_session_end: bool  # else it is an answer
 
 
 class ViewerConnection(Handler):
-    """One connection of a viewer's side."""
+    """A connection from viewers; one connection carries the requests of many."""
 
     def __init__(self, viewers: Viewers, number: int) -> None:
         self.viewers, self.number = viewers, number
         self.stream: Stream | None = None
         self.peer = ""
-        self.open_set_ups: dict[
-            bytes, int
-        ] = {}  # set-ups that wait for their answer here, with the bytes they take
+        self.open_set_ups: dict[bytes, int] = {}  # unanswered set-ups and the bytes that they take
         self.bytes_held = 0
         self.closing_since = 0
-        self.sessions: set[bytes] = set()  # sessions that were answered here
-        self.is_verified = False  # something was understood
-        self.had_session = False  # a session was answered here, or is known to stand
+        self.sessions: set[bytes] = set()  # sessions answered on this connection
+        self.is_verified = False  # a valid message was received
+        self.had_session = False  # a session was answered here, or was handed over on this connection
         self.is_closing = False
         self.created_at = self.last_received_at = viewers.loop.now()
         self.partial_since: int | None = None
         self.bytes_written = self._settled_offset = 0
         self._reader = MessageReader()
-        self.queued_set_ups: dict[
-            bytes, tuple[ParsedSetUp, int]
-        ] = {}  # read and not asked yet, with when they came
+        # parsed set-ups not yet passed to the controller, with their arrival times
+        self.queued_set_ups: dict[bytes, tuple[ParsedSetUp, int]] = {}
         self._unconfirmed: deque[UnconfirmedMessage] = deque()
 
     def write(self, data: bytes) -> None:
-        """Write, where it is open."""
+        """Write if the connection is open."""
         if self.stream is not None:
             self.bytes_written += len(data)
             self.stream.write(data)
 
     def send_tracked(self, call_id: bytes, frame: bytes, is_session_end: bool) -> None:
-        """Write an answer or a session's end, and keep it while the viewer cannot have heard it.
+        """Write an answer or a session's end, and track it while the viewer cannot have received it.
 
-        Danger: a viewer that closed before it was written, or whose connection takes nothing, never hears
-        it, and a session would play for nobody or count as standing for ever. Kept until the network has
-        taken it and the turn is over in which the viewer's close may lie unread.
+        A viewer that closed before the write, or whose connection accepts no bytes, never receives it: the
+        session would play without a viewer, or count as playing for ever. The message is tracked until the
+        network has taken it and the turn of the loop is over in which the viewer's close may be unread.
         """
         self.write(frame)
         if not self._unconfirmed or self._unconfirmed[-1].end_offset <= self._settled_offset:
@@ -76,7 +73,7 @@
         self._unconfirmed.append(UnconfirmedMessage(self.bytes_written, call_id, frame, is_session_end))
 
     def _settle(self) -> None:
-        """Take it that the turn is over: a close that had come before what was told in it is read."""
+        """Mark the end of the turn: a close that arrived before this turn's messages has been read by now."""
         self._settled_offset = self.bytes_written
         while (
             self._unconfirmed
@@ -86,21 +83,21 @@
             self._unconfirmed.popleft()
 
     def has_unsent(self) -> bool:
-        """Tell whether something written was not taken by the network yet."""
+        """Return whether the network has not yet taken everything that was written."""
         return self.stream is not None and self.stream.bytes_sent < self.bytes_written
 
     def has_unread(self) -> bool:
-        """Tell whether something has come and was not read or not asked yet."""
+        """Return whether received data is unread, or parsed set-ups wait for the controller."""
         return bool(self.queued_set_ups) or (self.stream is not None and self.stream.has_unread())
 
     def opened(self, stream: Stream) -> None:
-        """Take it that the connection stands."""
+        """Start using the connection, or abort it if the limit of connections was reached."""
         self.stream, self.peer = stream, stream.peer[0]
-        if self.is_closing:  # there was no room for it
+        if self.is_closing:
             stream.abort()
 
     def received(self, data: bytes) -> None:
-        """Take bytes: all that is whole in them is read before any set-up is asked."""
+        """Process all complete messages, and only then queue their set-ups for the controller."""
         if self.is_closing:
             return
         now = self.last_received_at = self.viewers.loop.now()
@@ -110,19 +107,20 @@
             if self.is_closing:
                 return
         if self._reader.is_broken:
-            self.close_with_error(Cause.PROTOCOL_ERROR, "bytes that are no message")
+            self.close_with_error(Cause.PROTOCOL_ERROR, "invalid message length or type")
             return
         self.partial_since = (self.partial_since or now) if self._reader.has_partial else None
         if self.queued_set_ups:
             self.viewers.queue(self)
 
     def submit_next(self) -> None:
-        """Ask the set-up that was read first: what is taken back before costs no host anything."""
+        """Submit the oldest queued set-up. One that was cancelled in the queue never reaches a host."""
         call_id, (parsed, received_at) = next(iter(self.queued_set_ups.items()))
         del self.queued_set_ups[call_id]
         if self.viewers.events.is_established(call_id) is None:
             self.viewers.events.handle_set_up(self.number, parsed, received_at)
-        elif self.close_set_up(call_id):  # another connection's, read after this one, was asked first
+        elif self.close_set_up(call_id):
+            # another connection submitted a set-up with the same call reference first
             self._reject_set_up(call_id, Cause.INVALID_CALL_REFERENCE, True)
 
     def _handle_message(self, message: Message) -> None:
@@ -130,14 +128,14 @@
         if kind == MessageKind.SET_UP:
             self._handle_set_up(message)
         elif message.fault is not None:
-            self.close_with_error(message.fault, "parameters beyond their message")
+            self.close_with_error(message.fault, "malformed parameters")
         elif kind == MessageKind.RELEASE:
             self._handle_release(message.call_id)
         elif kind == MessageKind.HEALTH_CHECK:
             self._mark_verified()
             self.write(messages.encode_health_check_reply(message.call_id, self.viewers.events.is_ready()))
         elif kind not in (MessageKind.RELEASE_COMPLETE, MessageKind.PROGRESS):
-            self.close_with_error(Cause.PROTOCOL_ERROR, f"message of type {kind}")
+            self.close_with_error(Cause.PROTOCOL_ERROR, f"unexpected message of type {kind}")
 
     def _mark_verified(self) -> None:
         if not self.is_verified:
@@ -146,8 +144,11 @@
 
     def _handle_set_up(self, message: Message) -> None:
         call_id = message.call_id
-        if call_id in self.open_set_ups:  # two set-ups under one number: one answer would be read for either
-            self.close_with_error(Cause.PROTOCOL_ERROR, f"second set-up {call_id.hex()}")
+        if call_id in self.open_set_ups:
+            # an answer could not be attributed to one of two set-ups with the same call reference
+            self.close_with_error(
+                Cause.PROTOCOL_ERROR, f"duplicate set-up for call reference {call_id.hex()}"
+            )
             return
         parsed = set_up_parser.parse_set_up(message, self.viewers.schema)
         is_known = self.viewers.events.is_established(call_id) is not None
@@ -170,17 +171,17 @@
             self.write(encode_release(call_id, Cause.SWITCHING_EQUIPMENT_CONGESTION))
 
     def _reject_set_up(self, call_id: bytes, cause: Cause, is_known: bool) -> None:
-        """Fail a set-up that cannot be one; `known`: its number is in use."""
+        """Fail an invalid set-up; `is_known` if its call reference is already in use."""
         self.write(encode_release(call_id, cause))
         if is_known and self.had_session:
             self.viewers.fail_duplicate(call_id)
         if not self.had_session:
-            self.close_with_error(Cause.PROTOCOL_ERROR, f"set-up {call_id.hex()}: {cause.name}")
+            self.close_with_error(Cause.PROTOCOL_ERROR, f"invalid set-up {call_id.hex()}: {cause.name}")
 
     def _reserve_memory(self, parsed: ParsedSetUp) -> bool:
-        """Take room for a set-up; False where there is none, and it never leaves.
+        """Reserve memory for a set-up; return False if there is none, and the set-up is refused.
 
-        Danger: set-ups of 16 KiB come faster than they are answered, and the machine has 32 MB.
+        Set-ups of 16 KiB can arrive faster than they are answered, and the process has 32 MB.
         """
         viewers, size = self.viewers, SET_UP_OVERHEAD_BYTES + sum(map(len, parsed.request.forwarded))
         if (
@@ -194,7 +195,7 @@
         return True
 
     def close_set_up(self, call_id: bytes) -> bool:
-        """Take it that a set-up waits no more; False where it did not wait here."""
+        """Remove an open set-up and free its memory; return False if it is not open here."""
         size = self.open_set_ups.pop(call_id, None)
         if size is None:
             return False
@@ -223,7 +224,7 @@
         return abandoned
 
     def close_with_error(self, cause: Cause, reason: str) -> None:
-        """Fail what is open and close: the peer does not speak the protocol, or not in its time."""
+        """Fail the open set-ups and close: the peer violated the protocol or its time limits."""
         if self.sessions:
             viewers = self.viewers
             viewers.log(
@@ -234,7 +235,7 @@
         self.close()
 
     def close(self, linger: bool = False) -> None:
-        """Read no more, send what is queued, close; with `finish` the peer's close is waited for."""
+        """Stop reading, flush queued data and close; with `linger` only once the peer has closed."""
         if not self.is_closing:
             self.is_closing, self.closing_since = True, self.viewers.loop.now()
             if self.stream is not None and linger:
@@ -244,17 +245,21 @@
                 self.stream.close()
 
     def abort_if_stuck(self, now: int) -> None:
-        """Break off where the peer does not take what is left for it."""
+        """Abort a closing connection whose peer has not taken the queued data in time."""
         if self.stream is not None and now - self.closing_since > MESSAGE_TIMEOUT_US:
             self.stream.abort()
 
     def closed(self, reason: CloseReason) -> None:
-        """Take the end of the connection, and of what was open on it."""
+        """Report the end of the connection, the undelivered messages and the open set-ups."""
         if self.sessions and not self.is_closing:
-            self.viewers.log("viewer gone", peer=self.peer, how=reason.value, sessions=len(self.sessions))
-        handed_over = self.stream.bytes_sent if self.stream is not None else 0
+            self.viewers.log(
+                "viewer disconnected", peer=self.peer, how=reason.value, sessions=len(self.sessions)
+            )
+        bytes_sent = self.stream.bytes_sent if self.stream is not None else 0
         undelivered = [
-            told for told in self._unconfirmed if told.end_offset > min(handed_over, self._settled_offset)
+            message
+            for message in self._unconfirmed
+            if message.end_offset > min(bytes_sent, self._settled_offset)
         ]
         self._unconfirmed.clear()
         self.is_closing, self.stream = True, None
--- a/mintmast/telemetry/lines.py
+++ b/mintmast/telemetry/lines.py
@@ -1,6 +1,6 @@
-"""Log lines: one JSON object an event, by msgspec.
+"""Structured log: one JSON object per event, encoded with msgspec.
 
-No logging library beside it: the one tried took 11 of the 32 MB that a small machine has.
+No logging library is used: the one tried needed 11 of the 32 MB that a small machine has.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 import msgspec
 
 LogFunction = Callable[..., None]
-# lines a second beyond which they are only counted: a flood of bad peers must not become one of lines
+# lines per second; further ones are only counted, so that many faulty peers cannot flood the log
 MAX_LINES_PER_SECOND = 200
 
 
 def open_log(path: str) -> IO[str]:
-    """Open the log's file, line by line; `-` is standard output. Raises OSError."""
+    """Open the log file for appending, line-buffered; `-` is standard output. Raises OSError."""
     return sys.stdout if path == "-" else open(path, "a", buffering=1, encoding="utf-8")
 
 
 def make_log_function(
     sink: IO[str], wall: Callable[[], float], max_per_second: int = 0, **bound: Any
 ) -> LogFunction:
-    """Give the function that writes a line: JSON of what is bound, the fields, the event and its time.
+    """Return a function that writes a JSON line of the bound fields, its own fields, the event and the time.
 
-    With `most`, no more lines a second are written; `left_out` tells how many were not, in the next one, also
-    those that the sink did not take.
+    `max_per_second` limits the lines, 0 is no limit. The next line has the number of lines that were
+    dropped in `left_out`, including those that could not be written.
     """
     encoder = msgspec.json.Encoder(enc_hook=str)
     second = written = left_out = 0
 
-    def say(event: str, **fields: Any) -> None:
+    def log(event: str, **fields: Any) -> None:
         nonlocal second, written, left_out
         now = wall()
         if max_per_second and int(now) == second and written >= max_per_second:
@@ -47,7 +47,7 @@
         try:
             sink.write(encoder.encode(line).decode() + "\n")
             sink.flush()
-        except OSError:  # nobody reads it: no reason to fail what was to be told
+        except OSError:  # a log that cannot be written must not fail the operation that logs
             left_out += 1
 
-    return say
+    return log
--- a/mintmast/wire.py
+++ b/mintmast/wire.py
@@ -1,4 +1,7 @@
-"""The binary wire: frames to events, actions to frames. Names of the wire's dialect stop here."""
+"""Decode frames of the simulator's binary protocol to events and encode actions to frames.
+
+The protocol's names of records and settings are used in this module only.
+"""
 
 from __future__ import annotations
 
@@ -48,31 +51,31 @@
 
 
 class WireError(Exception):
-    """The input breaks the wire's format or the settings lack what is needed."""
+    """The input violates the protocol or the settings are incomplete."""
 
 
 class Spawn:
-    """A gateway comes up with these settings."""
+    """A gateway starts with these settings."""
 
     __slots__ = ("seed", "settings")
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
-        """Keep the seed and the parsed settings."""
+        """Store the seed and the parsed settings."""
         self.seed = seed
         self.settings = settings
 
 
 class Teardown:
-    """A gateway dies without warning."""
+    """A gateway stops without warning."""
 
     __slots__ = ()
 
 
 class Decoder:
-    """Decodes batches; remembers the numbered lists that `ledger` records fill."""
+    """Decode batches of records and store the numbered server lists from `ledger` records."""
 
     def __init__(self) -> None:
-        """Start with no lists."""
+        """Start without lists."""
         self._ledgers: dict[int, tuple[api.ListEntry, ...]] = {}
 
     def events(self, body: bytes) -> Iterator[tuple[int, Any]]:
@@ -86,7 +89,7 @@
                     raise WireError(f"unknown event code {code}")
                 instance, event, at = reader(self, body, at + 2)
                 if at > end:
-                    raise WireError(f"event {code} runs past the end of its frame")
+                    raise WireError(f"event {code} exceeds the end of its frame")
                 if instance is not None:
                     yield instance, event
         except (struct.error, ValueError, OverflowError) as error:
@@ -97,7 +100,7 @@
         at += _ROWS.size
         end = at + n * _ROW.size
         if end > len(body):
-            raise WireError("a list runs past the end of its frame")
+            raise WireError("server list exceeds the end of its frame")
         self._ledgers[bank] = tuple(
             api.ListEntry(server, api.ServerState(mode), started, cell, zone, kind, weight)
             for started, cell, zone, kind, weight, server, mode in _ROW.iter_unpack(body[at:end])
@@ -110,7 +113,7 @@
         entries: tuple[api.ListEntry, ...] = ()
         if kind is not api.ListKind.FAILED:
             if bank not in self._ledgers:
-                raise WireError(f"list number {bank} was never sent")
+                raise WireError(f"server list {bank} was never sent")
             entries = self._ledgers[bank]
         return instance, api.ServerList(kind, version, entries), at + _MEMBERS.size
 
@@ -118,7 +121,7 @@
         instance, seed, n = _SPAWN.unpack_from(body, at)
         at += _SPAWN.size
         if at + n > len(body):
-            raise WireError("settings run past the end of their frame")
+            raise WireError("settings exceed the end of their frame")
         return instance, Spawn(seed, parse_settings(body[at : at + n])), at + n
 
     def _teardown(self, body: bytes, at: int) -> tuple[int, Teardown, int]:
@@ -170,7 +173,7 @@
 
     def _interim(self, body: bytes, at: int) -> tuple[int, api.Note | None, int]:
         instance, ref, _attempt, server, kind, value = _INTERIM.unpack_from(body, at)
-        known = kind in api.NoteKind._value2member_map_  # notes of a later kind are passed over
+        known = kind in api.NoteKind._value2member_map_  # kinds added by later versions are ignored
         event = api.Note(ref, server, api.NoteKind(kind), value) if known else None
         return instance, event, at + _INTERIM.size
 
@@ -238,9 +241,9 @@
 _TEXT = struct.Struct(">HIH")
 _MEMO = struct.Struct(">HIIH")
 ALL_PEERS = 0xFFFFFFFF
-# no time (µs), count or factor of a deployment is larger: more than a year
+# upper bound of the times (µs), counts and factors of a cold server's pace: more than three years in µs
 MAX_SETTING = 1e14
-# cells and racks that a list can name: 16 bits
+# number of cells and of racks that a 16-bit field of a server list can hold
 MAX_PLACES = 1 << 16
 
 
@@ -249,7 +252,7 @@
     return _TEXT.pack(1040, i, len(text)) + text
 
 
-def _pack_memo(i: int, action: api.SendToPeers) -> bytes:
+def _pack_peer_message(i: int, action: api.SendToPeers) -> bytes:
     dest = ALL_PEERS if action.peer is None else action.peer
     return _MEMO.pack(1110, i, dest, len(action.payload)) + action.payload
 
@@ -264,7 +267,7 @@
     api.SetTimer: lambda i, a: _THREE.pack(1030, i, a.delay, a.token),
     api.Probe: lambda i, a: _HOST.pack(1130, i, a.server),
     api.CloseIdle: lambda i, a: _HOST.pack(1000, i, a.server),
-    api.SendToPeers: _pack_memo,
+    api.SendToPeers: _pack_peer_message,
     api.Subscribe: lambda i, a: _SUBSCRIBE.pack(1080, i, a.on),
     api.FetchList: lambda i, a: _CODE.pack(1060) + _INSTANCE.pack(i),
     api.Log: _pack_log,
@@ -272,18 +275,18 @@
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """Give the record of one action."""
+    """Encode one action as a record."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Give the whole frame of a reply."""
+    """Encode a reply of these records as a frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), REPLY_HEADER.size + len(body)) + body
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """Map the wire's settings to the interface; raise `WireError` where they lack what is needed."""
+    """Parse the protocol's JSON settings; raise `WireError` if they are incomplete or malformed."""
     try:
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -291,7 +294,7 @@
     try:
         return _map_settings(document)
     except KeyError as error:
-        raise WireError(f"settings lack {error.args[0]!r}") from None
+        raise WireError(f"settings have no {error.args[0]!r}") from None
     except (TypeError, ValueError, AttributeError, IndexError, OverflowError) as error:
         raise WireError(f"settings are malformed: {error}") from None
 
@@ -308,14 +311,14 @@
     report, costs = document.get("report", {}), document.get("costs", {})
     ladder = tuple(_finite_number(kb) for kb in family["levelKb"])
     if not ladder or min(ladder) <= 0 or int(document["nInstances"]) < 1:
-        raise ValueError("the ladder is empty, a rate is not above 0, or there are no instances")
+        raise ValueError("the ladder is empty, a rate is not positive, or nInstances is below 1")
     worths = tuple(_finite_number(worth) for worth in family["ladderWorth"])
     if len(worths) != len(ladder):
         raise ValueError("levelKb and ladderWorth differ in length")
 
-    def per_class(key: str, place: int, default: Any) -> Any:
+    def per_class(key: str, index: int, default: Any) -> Any:
         values = family.get(key, ())
-        return values[place] if place < len(values) else default
+        return values[index] if index < len(values) else default
 
     services = document["services"]
     classes = tuple(
@@ -324,24 +327,24 @@
             target_time=int(each.get("aim", each["hardLimit"])),
             deadline=int(each["hardLimit"]),
             worth=_finite_number(each.get("worth", 1)),
-            scale=_finite_number(per_class("scaleByClass", place, 1)),
-            floor=int(per_class("lowestRung", place, 0)),
-            top=int(per_class("classTop", place, len(ladder) - 1)),
-            seats=int(per_class("seats", place, 0)),
+            scale=_finite_number(per_class("scaleByClass", index, 1)),
+            floor=int(per_class("lowestRung", index, 0)),
+            top=int(per_class("classTop", index, len(ladder) - 1)),
+            seats=int(per_class("seats", index, 0)),
             group=str(each.get("group", "all")),
             window=int(each.get("window", 0)),
         )
-        for place, each in enumerate(services)
+        for index, each in enumerate(services)
     )
     if not classes or not all(0 <= each.floor < len(ladder) and each.scale > 0 for each in classes):
-        raise ValueError("no class, a floor off the ladder, or a scale not above 0")
+        raise ValueError("no service class, a lowest rung off the ladder, or a scale that is not positive")
     pace_values = [rules.get(name, 0) for name in ("cold", "fall", "overloadFactor")]
     pace_values += family.get("kindSlots", ())
     if (
         not all(0 <= _finite_number(each) <= MAX_SETTING for each in pace_values)
         or not 0 <= rules.get("coldFrom", 1) <= 1
     ):
-        raise ValueError("a cold server's pace or the streams of a kind are below 0 or beyond reason")
+        raise ValueError("a slow start setting or a number of streams is negative or out of range")
     if max(int(family.get("cells", 0)), int(family.get("racks", 1))) > MAX_PLACES:
         raise ValueError(f"more than {MAX_PLACES} cells or racks")
     span = int(rules.get("ratioSpan", 0))
@@ -374,7 +377,7 @@
         uplink_kb=_finite_number(family.get("rackLinkKb", 0)),
         guard=_finite_number(family.get("guard", 0)),
         shared_adds=_finite_number(family.get("sharedAdds", 1)),
-        class_is_live=tuple(bool(per_class("classLive", place, False)) for place in range(len(services))),
+        class_is_live=tuple(bool(per_class("classLive", index, False)) for index in range(len(services))),
         stall_cost=_finite_number(family.get("stallCost", 1)),
         change_costs_s=_finite_number(family.get("changeCostsS", 0)),
         note_age=int(family.get("see", 0)),
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -1,4 +1,4 @@
-"""Slow start over real processes: three gateways, all killed inside the window, against one cold host."""
+"""Slow start over real processes: one cold host, three gateways killed and restarted within its window."""
 
 import json
 import time
@@ -11,16 +11,16 @@
 from mintmast.signalling import messages
 from mintmast.signalling.messages import MessageKind, MessageReader
 
-# A set-up may leave a second after it was decided, as long as a connection may take here: load on the machine
-# changes nothing. N is 11.25 at the beginning, in a window of 3 s.
-FALL, CONNECT, PLAYED = 3_000_000, 1_000_000, 4_500_000
-PACE = {"cold": 20_000_000, "coldFrom": 0.5, "fall": FALL, "overloadFactor": 2.5}
+# A set-up may be sent up to the connect timeout of 1 s after its decision, so that load on the machine does
+# not change the result. The budget N is 11.25 set-ups at first, in a window of 3 s.
+WINDOW_US, CONNECT_TIMEOUT_US, DURATION_US = 3_000_000, 1_000_000, 4_500_000
+SLOW_START = {"cold": 20_000_000, "coldFrom": 0.5, "fall": WINDOW_US, "overloadFactor": 2.5}
 BUDGET = 2.5 * 60 / 20 * 0.5 * 3
 COUNT = 3
 
 
 class Host(Handler):
-    """The host's end of a connection: plays whatever comes, and notes when."""
+    """The host's end of a connection; answers every set-up and records its time."""
 
     name = "a"
 
@@ -39,7 +39,7 @@
                 play(self, self, message)
 
 
-def test_gateways_that_are_killed_and_start_again_send_no_more_than_a_cold_host_bears(tmp_path):
+def test_restarted_gateways_stay_within_the_slow_start_budget_of_a_cold_host(tmp_path):
     loop, sends, number = SelectorLoop(), [], 0
     host = loop.listen("127.0.0.1", 0, lambda: Host(loop, sends))
     listed = host_entry("a", addr=f"127.0.0.1:{host.port}", started=int(time.time() * 1000))
@@ -48,16 +48,22 @@
     paths = []
     for me, port in enumerate(ports):
         family = SETTINGS["familyInfo"] | {"kindSlots": [60], "linksKb": 1e9, "rackLinkKb": 1e9}
-        caps = SETTINGS["caps"] | {"connectTimeout": CONNECT}
-        told = {"me": me, "nInstances": COUNT, "invariants": PACE, "familyInfo": family, "caps": caps}
+        caps = SETTINGS["caps"] | {"connectTimeout": CONNECT_TIMEOUT_US}
+        changes = {
+            "me": me,
+            "nInstances": COUNT,
+            "invariants": SLOW_START,
+            "familyInfo": family,
+            "caps": caps,
+        }
         path = tmp_path / f"{me}.json"
-        paths.append(write_config(path, port, known=known, settings=SETTINGS | told))
+        paths.append(write_config(path, port, known=known, settings=SETTINGS | changes))
     processes = [start_process(path) for path in paths]
     try:
         for process in processes:
             wait_for_event(process, "serving")
         begin, killed = loop.now(), False
-        while (now := loop.now()) < begin + PLAYED:
+        while (now := loop.now()) < begin + DURATION_US:
             for port in ports:
                 number += 1
                 peer = Peer()
@@ -71,7 +77,7 @@
                     process.wait()
                 processes = [start_process(path) for path in paths]
         assert killed
-        most = max(sum(1 for at in sends if first <= at <= first + FALL) for first in sends)
+        most = max(sum(1 for at in sends if first <= at <= first + WINDOW_US) for first in sends)
         assert most <= BUDGET + 2 * BUDGET**0.5 + 2, json.dumps(sends)
     finally:
         for process in processes:
@@ -80,7 +86,7 @@
 
 
 class Peer(Handler):
-    """A viewer that asks once."""
+    """A viewer that sends one set-up."""
 
     data = b""
 
