--- a/mintmast/decisions/gateways/claims.py
+++ b/mintmast/decisions/gateways/claims.py
@@ -1,17 +1,19 @@
-"""Who owns a paid key among the gateways of a region: claims at three witnesses, two of which must agree.
-
-The danger is a second charge at another gateway: a viewer who comes again elsewhere, at two gateways at once,
-or after his gateway died. Before a paid set-up goes out its gateway claims the key at its witnesses, gateways
-found by rendezvous hashing, so that all gateways name the same ones. A witness grants a key to one claim at a
-time, until that claim is released or its time is over; two of three are a majority, and two majorities share
-a witness. So there is at most one owner, whatever is lost, late or doubled. A claim is released only where
-its session provably never ran. It also guards against copies of one ask at two gateways. It may hurt where
-two of a key's witnesses cannot be reached: the viewer is failed.
-
-`stage_of` and, of `witness.py`, `vote`, `release` and `learn` are one key's machine; the model check
-(`tests/test_claims.py`) walks them. A witness that starts has no memory, and votes on a key once those have
-told what they know who know of every claim that it granted: `covers.py`. Claims that were under way at its
-death are over by then, as no vote counts that took longer than `CLAIM_TIME`.
+"""Ownership of paid keys among the gateways of a region: a claim needs the votes of two of three witnesses.
+
+Claims prevent a second charge when a viewer returns through another gateway, asks two gateways at once, or
+returns after his gateway died. Before a paid set-up is sent, its gateway claims the key at the key's
+witnesses, which are gateways chosen by rendezvous hashing so that every gateway names the same ones. A
+witness grants a key to one claim at a time, until that claim is released or its record expires. Two of three
+are a majority and any two majorities share a witness, so there is at most one owner, whatever messages are
+lost, late or duplicated. A claim is released only where its session provably never ran. Claims also cover
+copies of one request at two gateways. The cost: where two of a key's witnesses cannot be reached, the viewer
+is failed.
+
+`evaluate_votes` here and `vote_on_claim`, `release_claim` and `merge_known_claim` in `witness.py` form the
+state machine of one key, which a model check (`tests/test_claims.py`) explores exhaustively. A witness that
+starts has no memory. It votes on a key once gateways that together know of every claim it granted have
+reported what they know (see `exclusions.py`). Claims that were pending when it died are decided by then,
+because a vote that took longer than `CLAIM_TIMEOUT_US` does not count.
 """
 
 from __future__ import annotations
@@ -28,52 +30,52 @@
 from mintmast.decisions.messages import Wake
 
 SECOND = 1_000_000
-# µs between the tries of a claim whose votes were split, at the least; as much again by a hash, so that two
-# that met once do not meet again
+# minimum µs between attempts of a claim whose votes were split; a jitter of up to as much again is derived
+# from a hash, so that two claims that collided once do not collide again
 AGAIN = SECOND // 50
-# µs for a release: it is not tried again, as a key whose release one witness missed has two more
+# µs for a release, which is not retried: a key whose release one witness missed has two more witnesses
 RELEASE_TIME = 2 * SECOND
-# tries of a claim: three claimants that split the votes thrice in a row are no accident
+# attempts per claim: three claimants that split the votes three times in a row are no coincidence
 TRIES = 4
-# why a claim was not decided where too few witnesses could be asked
-UNASKED = "the owners of this key cannot be asked"
+# reason of a claim for which too few witnesses voted
+UNASKED = "too few witnesses of this key answered"
 
 
 class Stage(Enum):
-    """Where a claim stands."""
+    """State of a claim after the votes received so far."""
 
     ASKING = "asking"
     OWNED = "owned"
     LOST = "lost"  # another claim may own the key
     UNKNOWN = "unknown"  # too few witnesses voted
-    SPLIT = "split"  # nobody has a majority: asked again after a while
+    SPLIT = "split"  # no claim has a majority; retried after a delay
 
 
 @dataclass(slots=True, frozen=True)
 class Tally:
-    """Votes of one try."""
+    """Votes of one attempt."""
 
     granted: int = 0
     denied: int = 0
-    missing: int = 0  # no answer in time, or no vote
+    missing: int = 0  # no reply in time, or an abstention
 
 
 def stage_of(tally: Tally, witnesses: int) -> Stage:
-    """Tell where a try stands by its votes; the order in which they came plays no part."""
+    """Return the state of an attempt from its votes; their order does not matter."""
     most = witnesses // 2 + 1
     if tally.granted >= most:
         return Stage.OWNED
     if tally.denied >= most:
         return Stage.LOST
     if tally.granted + (witnesses - tally.granted - tally.denied - tally.missing) >= most:
-        return Stage.ASKING  # it may still come true
+        return Stage.ASKING  # a majority is still possible
     if tally.denied and tally.granted:
         return Stage.SPLIT
     return Stage.LOST if tally.denied else Stage.UNKNOWN
 
 
 def together(granted: dict[str, tuple[str, ...]]) -> int:
-    """Count the most votes that may be counted together; each names those it is not combined with."""
+    """Return the size of the largest set of votes that may be combined, none excluding another."""
     for size in range(len(granted), 0, -1):
         for group in combinations(sorted(granted), size):
             if not any(other in granted[each] for each in group for other in group):
@@ -86,21 +88,22 @@
     session: int
     digest: str
     keep: int
-    until: int  # when it must be decided, so that time is left for the set-up
+    until: int  # µs; decided by then, so that time is left for the set-up
     asked_at: int = 0
     stage: Stage = Stage.ASKING
-    number: int = 0  # of the try that is under way, or owns
+    number: int = 0  # fencing token of the attempt that is pending or owns the key
     tries: int = 0
     votes: dict[str, Vote | None] = field(default_factory=dict)
-    granted: dict[str, tuple[str, ...]] = field(default_factory=dict)  # whom each is not combined with
+    # by witness that granted the key: the witnesses whose votes its vote excludes
+    granted: dict[str, tuple[str, ...]] = field(default_factory=dict)
     unasked: list[str] = field(default_factory=list)
 
 
 class Claims:
-    """The claims of one gateway and its part as a witness.
+    """Claims of one gateway, together with its role as a witness.
 
-    `members` are all gateways of the region by name, this one among them; none switches claims off. `decided`
-    hears of each claim once: with "" where it is owned, else with the reason why it is not.
+    `members` names all gateways of the region, including this one; an empty tuple disables claims.
+    `on_decided` is called once per claim with (now, session, reason); the reason is "" if the key is owned.
     """
 
     def __init__(
@@ -118,22 +121,22 @@
         self.part = Witnessing(gateway, start, self._keys, emit, self._own)
         self._claims: dict[int, _Claim] = {}  # by session
         self._by_number: dict[int, _Claim] = {}
-        # digest: owner (this life or one before), number, until when others may need to know
+        # by digest: owner (of this generation or an earlier one), number, and when the record expires (µs)
         self._owned: dict[str, tuple[str, int, int]] = {}
         self._number = 0
 
     @property
     def on(self) -> bool:
-        """Tell whether keys are claimed at all."""
+        """Return whether keys are claimed at all."""
         return bool(self._keys.members)
 
-    # As a claimant
+    # Claiming
 
     def begin(self, now: int, session: int, key: str, length: int, until: int) -> None:
-        """Claim a key for a session, by `until`; `length` of the session in µs, 0 for not known."""
+        """Claim a key by `deadline` (µs) for a session of `length` µs, 0 if unknown."""
         claim = _Claim(session, digest_of(key), (length or LONGEST) + KEPT, until)
-        if self._owned.get(claim.digest, ("", 0, now))[2] > now:  # from a session that may have run
-            self._decided(now, session, "this key has been spent")
+        if self._owned.get(claim.digest, ("", 0, now))[2] > now:  # a session that may have run holds it
+            self._decided(now, session, "this key has been used")
             return
         if self.part.condemned:
             self._decided(now, session, self.part.condemned)
@@ -142,7 +145,7 @@
         self._ask(now, claim)
 
     def pending(self, session: int) -> bool:
-        """Tell whether a session's claim is not decided yet."""
+        """Return whether a session's claim is still undecided."""
         claim = self._claims.get(session)
         return claim is not None and claim.stage is not Stage.OWNED
 
@@ -177,12 +180,12 @@
             self._emit(SendClaim(each, claim.digest, claim.number, claim.keep, until))
 
     def voted(self, now: int, event: Voted) -> None:
-        """Take a witness's vote, or that there was none."""
+        """Count a witness's vote, or its failure to vote."""
         claim = self._by_number.get(event.number)
         if claim is None or claim.number != event.number or claim.stage is not Stage.ASKING:
             return
-        late = now - claim.asked_at > CLAIM_TIME  # also when this process stood still
-        # one process of a name has come after another: what the first says now, the second does not know
+        late = now - claim.asked_at > CLAIM_TIME  # also if this process was paused meanwhile
+        # a later process of that name runs already and does not know of a vote given by the earlier one
         over = 0 < event.start < self.part.covers.start_of(event.peer)
         self._count(now, claim, event.peer, Vote.NONE if late or over else event.vote, event.without)
 
@@ -212,7 +215,7 @@
             return
         self._claims.pop(claim.session, None)
         known = claim.stage is Stage.LOST
-        reason = "another gateway has this key" if known else UNASKED
+        reason = "another gateway owns this key" if known else UNASKED
         self._decided(now, claim.session, reason)
 
     def _spread(self, claim: _Claim) -> int:
@@ -220,13 +223,13 @@
         return int.from_bytes(drawn, "big") % AGAIN
 
     def again(self, now: int, session: int) -> None:
-        """Try once more, if the claim is still wanted."""
+        """Start another attempt, if the claim is still wanted."""
         claim = self._claims.get(session)
         if claim is not None and claim.stage in (Stage.SPLIT, Stage.UNKNOWN):
             self._ask(now, claim)
 
     def settle(self, now: int, session: int, ran: bool) -> None:
-        """Take note that a session is over; where it provably never ran its key is free again."""
+        """Drop the claim of a session that is over; release its key if the session provably never ran."""
         claim = self._claims.pop(session, None)
         if claim is None:
             return
@@ -236,7 +239,7 @@
             self._give_up(now, claim)
 
     def _give_up(self, now: int, claim: _Claim) -> None:
-        """Release a try at all its witnesses, those too that have not voted."""
+        """Release an attempt at all its witnesses, including those that have not voted."""
         self._by_number.pop(claim.number, None)
         self._owned.pop(claim.digest, None)
         self._release(now, claim.digest, self._owner, claim.number, claim.votes)
@@ -249,27 +252,27 @@
                 before = owner if owner != self._owner else ""
                 self._emit(SendRelease(each, digest, number, now + RELEASE_TIME, before))
 
-    # What earlier lives owned
+    # Keys owned by earlier generations
 
     def owned(self, session: int) -> tuple[str, int]:
-        """Give owner and number of the claim that a session's key is owned by; ("", 0) for none."""
+        """Return owner and number of the claim that owns a session's key; ("", 0) if none does."""
         claim = self._claims.get(session)
         owns = claim is not None and claim.stage is Stage.OWNED
         return (self._owner, claim.number) if owns and claim is not None else ("", 0)
 
     def restore(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
-        """Take it from the records that an earlier life owned a key, still to be kept for so many µs."""
+        """Restore a key that an earlier generation owned, to be kept for another `keep` µs."""
         if self.on and owner:
             self._owned[digest] = owner, number, now + keep
 
     def give_back(self, now: int, digest: str) -> None:
-        """Release what an earlier life owned, as its session provably never ran."""
+        """Release a key that an earlier generation owned and whose session provably never ran."""
         owner, number, _ = self._owned.pop(digest, ("", 0, 0))
         if owner:
             self._release(now, digest, owner, number, self._keys.of(digest))
 
     def _own(self, now: int) -> dict[str, Known]:
-        """Give the keys that this gateway owns."""
+        """Return the keys that this gateway owns, by digest."""
         for digest in [each for each, (*_, until) in self._owned.items() if until <= now]:
             del self._owned[digest]
         return {
--- a/mintmast/decisions/gateways/covers.py
+++ b/mintmast/decisions/gateways/covers.py
@@ -1,26 +1,29 @@
-"""Whose word a witness may do without: what others told it, and whom it holds aside so that others can.
-
-A witness that starts has no memory. It may vote on a key once it knows of every owned claim to which an
-earlier life of its own helped; such a claim has a second vote, by one of the key's other two witnesses. So it
-hears both of them; a third gateway need not be heard. Where one, X, cannot be reached, the other, A, may
-stand in: while X was out of reach this gateway held it **aside** towards A. That is two things. A has read
-all that this gateway granted before; and each vote given since says that it does not count together with
-X's, on keys that all three witness, so that it counts with A's only and A knows of it itself.
-
-Dangers, and what is done against each (`tests/test_covers.py` takes them out one by one):
-
-* A promise outlives the process that gave it: A keeps it for all later lives. A life that has not heard from
-  A does not vote on such keys, and one that has keeps the promise until A has booked its end.
-* X aside towards A and A aside towards X, in different lives, would each vouch for what only the other knows:
-  nobody is held aside towards one who is held aside himself on the same keys.
-* A gateway that is learning knows nothing that others could read: it says with whom it does not vote yet, and
-  nothing is built on that.
-* Records that were kept over the death stand in for all that, if they are this gateway's last: another that
-  knows of a later life than they do says so, and one such answer makes this one ask all, as without records.
-* Words overtake each other: each has a version, and those of an earlier life are not booked.
-
-Two gateways out of reach at once are not covered: keys with both among their witnesses wait for one of them,
-or for an operator's word.
+"""Which votes a restarted witness may do without: exclusions, and gateways that vouch for unreachable ones.
+
+A witness that starts has no memory. It may vote on a key once it knows of every owned claim that one of its
+earlier generations voted for. Such a claim has a second vote, from one of the key's other two witnesses, so
+the witness needs replies from both of these and from no further gateway. Where one of them, X, cannot be
+reached, the other, A, may **vouch** for it, provided that this gateway **excluded** X towards A while X was
+unreachable. An exclusion means two things: A has read everything that this gateway granted before; and every
+vote since then states that it must not be combined with X's, on keys that all three witness. Such a vote
+counts only together with A's, so A knows of the claim itself.
+
+Failures that this prevents (`tests/test_exclusions.py` removes each protection in turn):
+
+* An exclusion outlives the process that announced it: A remembers it for all later generations. A generation
+  without a reply from A does not vote on such keys; one with a reply keeps the exclusion until A has
+  acknowledged its end.
+* If X were excluded towards A and, in another generation, A towards X, each would vouch for what only the
+  other knows. So no gateway is excluded towards one that is itself excluded on the same keys.
+* A gateway that is still learning has nothing that others could read. It lists the gateways with which it
+  does not vote yet, and nothing is concluded from its answer for those.
+* Records on disk that survived the restart replace all of this, provided that they are this gateway's latest.
+  A gateway that has seen a later generation than they contain reports it, and one such reply makes this
+  gateway ask all others, as it would without records.
+* Messages may overtake each other: each has a version, and those of an earlier generation are not recorded.
+
+Two gateways unreachable at the same time are not handled: keys that have both among their witnesses wait
+until one of them can be reached or an operator declares it gone.
 """
 
 from __future__ import annotations
@@ -32,12 +35,12 @@
 from mintmast.decisions.gateways.talk import AsideTold, Learnt, SendAside, SendLearn
 
 SECOND = 1_000_000
-# µs after which a gateway that did not answer is asked again
+# µs after which an unanswered message is sent again
 ASK_AGAIN = SECOND
 NOBODY: frozenset[str] = frozenset()
-# after every digest: a question that asks for no records
+# sorts after every digest: a learn request that asks for no records
 NO_RECORDS = "~"
-# writes who may be held aside towards another, then calls `then(now, good)`
+# saves the exclusions that a peer may have recorded, then calls `then(now, is_durable)`
 Save = Callable[[int, str, frozenset[str], Callable[[int, bool], None]], None]
 
 
@@ -47,39 +50,44 @@
 
 @dataclass(slots=True)
 class _Read:
-    """What is being read from another gateway; `until` (µs) the answer to the last question comes or not."""
+    """A read of another gateway's claims, page by page; `deadline` (µs) is that of the latest request."""
 
     until: int
-    number: int  # of the last question
+    number: int  # of the latest request
     start: int = 0
     pages: int = 0
     records: bool = True
     unready: set[str] = field(default_factory=set)
-    version: int = -1  # of the other's word that this is read for; -1 for none
+    version: int = -1  # of the peer's exclusions that this read is for; -1 for none
 
 
 @dataclass(slots=True)
 class _Cover:
-    """What another gateway, in all its lives, holds aside towards this one."""
+    """Gateways that another one, in all its generations, excludes towards this one."""
 
     start: int = 0
     version: int = -1
-    covered: frozenset[str] = NOBODY  # and what it had granted was read
-    wanted: frozenset[str] = NOBODY  # still to be read
+    covered: frozenset[str] = NOBODY  # its earlier grants have been read
+    wanted: frozenset[str] = NOBODY  # its earlier grants are still to be read
 
 
 @dataclass(slots=True)
 class _Other:
-    """Another gateway. `held` is all that it may have booked, `acked` what it surely has."""
+    """Another gateway.
 
-    out: bool = not CONCLUSIONS[Proof.NEVER_HEARD].relied_on  # as it stands
+    `excluded` are all exclusions that it may have recorded, `acknowledged` those that it certainly has.
+    """
+
+    out: bool = not CONCLUSIONS[Proof.NEVER_HEARD].relied_on
     gone: bool = False
-    first: bool = False  # it is asked before others
+    first: bool = False  # asked before others
     start: int = 0
-    before: int = 0  # its start before that
-    met: bool = False  # it answered, and knows of no life of this gateway that the records do not
-    told: frozenset[str] | None = None  # those with whom it did not vote when it told all; None: it did not
-    covers: frozenset[str] = NOBODY  # whom it said to cover for this gateway
+    before: int = 0
+    # it replied, and has seen no generation of this gateway that the records lack
+    met: bool = False
+    # with whom it did not vote when it reported all its claims; None: it has not reported them
+    told: frozenset[str] | None = None
+    covers: frozenset[str] = NOBODY  # as it replied
     held: frozenset[str] = NOBODY
     acked: frozenset[str] | None = None
     version: int = 0
@@ -89,12 +97,12 @@
     cover: _Cover = field(default_factory=_Cover)
 
     def forget_word(self) -> None:
-        """Take it that the process which booked this gateway's word is over."""
+        """Drop what the peer acknowledged: the process that recorded it has ended."""
         self.held, self.acked, self.sent_until = NOBODY, None, 0
 
 
 class Covers:
-    """One gateway's part. `members` are all gateways of the region, `emit` takes commands."""
+    """Exclusions of one gateway. `members` are all gateways of the region; `emit` receives commands."""
 
     def __init__(
         self,
@@ -104,19 +112,19 @@
         save: Save | None = None,
     ) -> None:
         self._gateway, self._emit, self._save = gateway, emit, save or _at_once
-        self._life: int | None = None  # the last start in the records, where they are whole
+        self._life: int | None = None  # the latest in the records, if they are complete
         self.others = {each: _Other() for each in sorted(members) if each != gateway}
         self._out = {name for name, other in self.others.items() if other.out}
-        self._all = not self.others  # every other one told, or is gone
+        self._all = not self.others  # each peer has reported or its process has ended
         self._voting = False
         self._asked = 0
-        self.stale = False  # the records are not the last
-        self.begun = False  # claims that an earlier life voted on are decided by now
+        self.stale = False  # a peer has seen a later generation than the records contain
+        self.begun = False  # claims that an earlier generation voted on are decided by now
 
-    # What may be done
+    # Conclusions
 
     def ready(self, others: tuple[str, ...]) -> bool:
-        """Tell whether this gateway may vote on keys that it witnesses together with these."""
+        """Return whether this gateway may vote on keys that it witnesses together with these."""
         if self._life is not None and others:
             if not self._met([self.others[each] for each in others]):
                 return False
@@ -124,21 +132,21 @@
 
     @staticmethod
     def _met(others: list[_Other]) -> bool:
-        """Tell whether these say that the records are the last; one is enough where the rest is out.
+        """Return whether each reachable one of these peers, and at least one peer, confirmed the records.
 
-        Danger: any of them may be the one that met a later life, as when a backup was put back.
+        Any of them may be the one that has seen a later generation, as after a backup was restored.
         """
         return any(each.met for each in others) and all(each.met or each.out for each in others)
 
     def restore(self, life: int, aside: dict[str, frozenset[str]]) -> None:
-        """Start from whole records: the last start in them, and who was held aside towards whom."""
+        """Start from complete records: the latest generation in them and the exclusions by peer."""
         self._life, self._all, self.begun = life, True, True
         for name, names in aside.items():
             if name in self.others:
                 self.others[name].held = names & self.others.keys()
 
     def doubt(self) -> None:
-        """Take it that the records are not the last: ask all, as without."""
+        """Distrust records that are not the latest: ask all peers, as without records."""
         self._life, self._all, self._voting, self.begun = None, False, False, False
         for other in self.others.values():
             other.told, other.covers, other.read = None, NOBODY, None
@@ -155,12 +163,12 @@
         return told is not None and self._gateway not in told and told.isdisjoint(others)
 
     def without(self, others: tuple[str, ...]) -> tuple[str, ...]:
-        """Give those of a key's other witnesses with whose votes this gateway's must not be combined."""
+        """Return those of a key's other witnesses whose votes must not be combined with this gateway's."""
         return tuple(a for a in others if any(a in self.others[b].held for b in others))
 
     @property
     def voting(self) -> bool:
-        """Tell whether it votes on all keys that can be decided: those with one other witness in reach."""
+        """Return whether it votes on all keys that can be decided, those with another reachable witness."""
         if not self._voting:
             told = self._all or any(self._whole(each, ()) for each in self.others)
             if self._life is not None and self.others:
@@ -171,15 +179,15 @@
 
     @property
     def whole(self) -> bool:
-        """Tell whether it knows all that its lives granted, on keys of those out of reach too."""
+        """Return whether it knows all grants of its generations, also on keys of unreachable witnesses."""
         return self.begun and all(self._settled(name, other) for name, other in self.others.items())
 
     def waits_for(self) -> list[str]:
-        """Name those without whose word there are keys that it does not vote on."""
+        """Return the peers without whose reply there are keys that it does not vote on."""
         return list(self._waits())
 
     def state(self) -> dict[str, object]:
-        """Tell operators whose word is waited for, who is held aside towards whom, who is covered here."""
+        """Return for operators: awaited peers, exclusions by peer, gateways vouched for by peer."""
         held = {name: sorted(other.held) for name, other in self.others.items() if other.held}
         here = {
             name: sorted(other.cover.covered) for name, other in self.others.items() if other.cover.covered
@@ -192,28 +200,28 @@
                 yield name
 
     def _settled(self, name: str, other: _Other, out: set[str] | frozenset[str] = NOBODY) -> bool:
-        """Tell whether it votes on all keys with this one, but for those whose witnesses are all out."""
+        """Return whether it votes on all keys with this peer, except those whose witnesses are all `out`."""
         if self._life is None and (self._all or other.told == NOBODY):
             return self.begun
         if len(self.others) == 1:
             return self.ready((name,))
         return all(self.ready((name, each)) or {name, each} <= out for each in self.others if each != name)
 
-    # What is heard
+    # Input from membership and peers
 
     def stands(self, name: str, proof: Proof, start: int) -> None:
-        """Take how another gateway stands."""
+        """Update a peer's liveness and generation."""
         other = self.others[name]
         self.lives(name, start)
         row = CONCLUSIONS[proof]
         other.out, other.gone, other.first = not row.relied_on, row.gone, row.asked_first
         (self._out.add if other.out else self._out.discard)(name)
-        if other.gone:  # its memory is gone with it
+        if other.gone:  # its memory is lost with it
             other.forget_word()
             self._look()
 
     def lives(self, name: str, start: int) -> None:
-        """Take note of a start of another gateway: a later one has no memory of this gateway's word."""
+        """Record a peer's generation; a later one does not remember what an earlier one acknowledged."""
         other = self.others[name]
         if start > other.start:
             if other.start:
@@ -223,16 +231,16 @@
             other.start = start
 
     def learnt(self, now: int, event: Learnt) -> None:
-        """Take the end of a question; its records are the witness's."""
+        """Handle the end of a learn request; the claims in the reply are merged by the witness service."""
         other = self.others[event.peer]
         read = other.read
         if read is None or event.number != read.number or not event.whole:
-            return  # asked again when its time is over
-        start = event.start or other.start  # none is told by the version before, which covers nobody
+            return  # sent again after its deadline
+        start = event.start or other.start  # gateways of the previous release send none and vouch for nobody
         if start > other.start:
             self.lives(event.peer, start)
         if start < other.start or (read.pages and read.start != start):
-            other.read = None  # pages of two lives do not make one whole
+            other.read = None  # pages of two generations do not make one complete report
             return
         other.read, read.start, read.pages = read, start, read.pages + 1
         if self._life is not None and event.before > self._life:
@@ -249,7 +257,7 @@
 
     def _read_whole(self, other: _Other, read: _Read, event: Learnt) -> None:
         covered = frozenset(event.covered) & self.others.keys()
-        if other.told is None:  # this life's promise is that of the lives before it
+        if other.told is None:  # exclusions of earlier generations still hold
             other.held |= covered
             other.acked = other.held
         other.covers |= covered if other.told is None else NOBODY
@@ -261,12 +269,12 @@
         self._look()
 
     def _look(self) -> None:
-        """Look whether every other one has told, or is gone: then nobody knows of more."""
+        """Check whether each peer has reported or its process has ended: then no further claims are known."""
         if all(each.told is not None or each.gone for each in self.others.values()):
             self._all = True
 
     def asided(self, now: int, event: AsideTold) -> None:
-        """Take another gateway's word that it has booked who is held aside."""
+        """Handle a peer's acknowledgement that it has recorded exclusions."""
         other = self.others[event.peer]
         version, names = other.sent
         if event.version == version:
@@ -275,13 +283,13 @@
             self._save(now, event.peer, names, lambda at, good: None)
 
     def start_of(self, name: str) -> int:
-        """Give the last start of a gateway that is known; 0 for this one, or for none."""
+        """Return the latest known generation of a peer; 0 if none is known, or for this gateway."""
         return self.others[name].start if name in self.others else 0
 
-    # What is told
+    # Answers to peers
 
     def tell(self, name: str) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Give for one that asks: with whom as third witness this one does not vote, and whom it covers."""
+        """Return for a learn reply: third witnesses that it does not vote with, and whom it vouches for."""
         rest = [each for each in self.others if each != name]
         unready = [each for each in rest if not self.ready((name, each))]
         if not rest and not self.ready((name,)):
@@ -289,9 +297,10 @@
         return tuple(unready), tuple(sorted(self.others[name].cover.covered))
 
     def book(self, name: str, start: int, version: int, names: tuple[str, ...]) -> int:
-        """Book whom another gateway holds aside; gives the version that is booked, -1 for none.
+        """Record whom a peer excludes; return the version that is recorded, -1 if none is.
 
-        Danger: a word of an earlier life, or one that was overtaken, would vouch for what is not so any more.
+        Messages of an earlier generation and overtaken ones are ignored: they would vouch for what no longer
+        holds.
         """
         other = self.others[name]
         self.lives(name, start)
@@ -306,10 +315,10 @@
             cover.wanted = told - cover.covered
         return cover.version
 
-    # What is asked
+    # Requests to peers
 
     def go_on(self, now: int) -> bool:
-        """Ask and tell what is to be asked and told by now; True where something is still open."""
+        """Send all requests and exclusions that are due; return True if any is still unanswered."""
         open_ = False
         for name, other in self.others.items():
             open_ |= self._ask(now, name, other) | self._tell_aside(now, name, other)
@@ -347,7 +356,7 @@
         return True
 
     def _wanted(self, name: str, other: _Other) -> frozenset[str]:
-        """Give whom to hold aside towards one that is heard."""
+        """Return whom to exclude towards a reachable peer."""
         return frozenset(
             each
             for each in self._out
--- a/mintmast/decisions/gateways/records.py
+++ b/mintmast/decisions/gateways/records.py
@@ -1,10 +1,10 @@
-"""What a gateway keeps over its death, when it must be on disk, and what a start may conclude from it.
+"""Durable records of a gateway: when each must be on disk, and what a restart may conclude from them.
 
-Each row of `WHEN` names what must not happen before the record is durable, and the danger if it did. What
-waits for nothing costs service when it is lost, never a second charge.
+Each row of `DURABILITY_RULES` names what must not happen before the record is durable, and the risk if it
+did. Losing a record that nothing waits for costs service, never a second charge.
 
-Times are kept as time that gateways of this name have run, so that neither a wall clock that jumps nor a
-long death ends a record early: a record is kept longer by all the time that nobody ran.
+Times are stored as total runtime of the processes of this name, so that neither a jump of the wall clock nor
+a long outage expires a record early: records live longer by all the time in which no process ran.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from mintmast.decisions.gateways.witness import Record
 
-# µs of running after which the clock is written again; a start loses so much at most, that is, keeps longer
+# µs of runtime after which the clock is saved again; a restart loses at most so much and keeps records longer
 CLOCK_EVERY = 60_000_000
 
 
 class Kind(Enum):
-    """What a record is about."""
+    """Subject of a record."""
 
     LIFE = "life"
     WHOLE = "whole"
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class When:
-    """What a record comes before, if anything, and why."""
+    """What must not happen before a record is durable, "" for nothing, and the risk if it did."""
 
     before: str
     danger: str
@@ -44,35 +44,35 @@
 
 WHEN: dict[Kind, When] = {
     Kind.LIFE: When(
-        "the first word under its start",
-        "two lives of one number: epochs, fences and words of the first would pass for the second's",
+        "the first message under its generation",
+        "two runs of one generation: epochs, fences and messages of the first would pass for the second's",
     ),
     Kind.WHOLE: When(
         "",
-        "not written: the next start asks the others; written too early it would trust what is not all",
+        "lost: the next start asks the others; written too early: a start trusts incomplete records",
     ),
     Kind.GRANT: When(
-        "the vote is told",
-        "a vote that its witness forgets may be given again to another claim: a second charge",
+        "the vote is sent",
+        "a witness that forgets its vote may vote again for another claim: a second charge",
     ),
     Kind.ASIDE: When(
-        "the word is sent",
-        "another vouches for what this gateway granted, and the next life votes as if it had not promised",
+        "the exclusions are sent",
+        "a peer vouches for this gateway's grants; the next generation votes as if it had excluded nobody",
     ),
     Kind.INTENT: When(
-        "the first byte of a paid set-up leaves; nothing where it is free",
-        "the next life takes for unspent what may have run; with one gateway alone that is a second charge",
+        "the first byte of a paid set-up is sent; nothing if it is free",
+        "the next generation takes a used key for unused; with a single gateway that is a second charge",
     ),
     Kind.DRAIN: When(
-        "the operator hears that the order is taken", "the next life sets up at a host that is to be emptied"
+        "the operator gets the confirmation", "the next generation sets up sessions at a host to be emptied"
     ),
-    Kind.MEMBER: When("", "the next life waits again for one of which an operator said that it is gone"),
-    Kind.CLOCK: When("", "records are kept longer than they need be"),
+    Kind.MEMBER: When("", "the next generation waits again for a gateway that an operator declared gone"),
+    Kind.CLOCK: When("", "records are kept longer than needed"),
 }
 
 
 class Kept(msgspec.Struct, frozen=True, gc=False):
-    """One record as it is stored; `value` None takes it out."""
+    """One record as it is stored; a `value` of None deletes it."""
 
     kind: str
     key: str
@@ -80,26 +80,26 @@
 
 
 def kept(kind: Kind, key: str, value: object) -> Kept:
-    """Give a record as it is stored."""
+    """Return a record as it is stored."""
     return Kept(kind.value, key, msgspec.msgpack.encode(value))
 
 
 class Write(msgspec.Struct, frozen=True, gc=False):
-    """To the store: make these durable; with a `token`, `Written(token)` tells the end."""
+    """To the store: make these durable; if `token` is set, `RecordsWritten(token)` follows."""
 
     records: tuple[Kept, ...]
     token: int = 0
 
 
 class Written(msgspec.Struct, frozen=True, gc=False):
-    """The store: what was written under `token` is durable, or (not `good`) may be lost."""
+    """From the store: the write of `token` ended; what is not `is_durable` may be lost."""
 
     token: int
     good: bool
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A witness's record of a key; `until` in µs of running."""
+    """A witness's record of a key; `until` is in µs of runtime."""
 
     owner: str
     number: int
@@ -108,16 +108,16 @@
 
 
 class Intent(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A session that is set up or was; `until` in µs of running.
+    """A session that is being set up or was; `until` is in µs of runtime.
 
-    `owner` and `number` are its claim's, `clock` the last reading of the host's clock (µs, -1 for none) heard
-    before the set-up left. With `over` it may have run and nothing is to be asked any more. Paid ones stand
-    under their key's digest, `free` ones under their names.
+    `owner` and `number` are its claim's; `clock` is the last reading of the host's clock (µs, -1 for none)
+    received before the set-up was sent. With `over` it may have run and the host need not be asked any more.
+    Paid sessions are stored under their key's digest, `free` ones under their names.
     """
 
     until: int
     key: str
-    session: str  # its name on wires
+    session: str  # its name towards hosts and viewers
     server: str
     epoch: int
     clock: int
@@ -141,26 +141,26 @@
 
 @dataclass(slots=True)
 class Recovered:
-    """What a start has from before. `life` is the last start, 0 for none; `faults`, what was left out."""
+    """State recovered at a start; `faults` lists unreadable records."""
 
-    life: int = 0
-    marked: bool = False  # a life before knew all that it and those before it had granted
+    life: int = 0  # the latest one, 0 for none
+    marked: bool = False  # some generation knew all grants of itself and of those before it
     ran: int = 0  # µs
-    grants: dict[str, tuple[Record, int]] = field(default_factory=dict)  # and µs still kept
+    grants: dict[str, tuple[Record, int]] = field(default_factory=dict)  # and µs until it expires
     aside: dict[str, frozenset[str]] = field(default_factory=dict)
-    intents: dict[str, tuple[Intent, int]] = field(default_factory=dict)  # by digest, and µs still kept
-    drains: dict[str, int | None] = field(default_factory=dict)  # until when (µs of running) to be empty
-    members: dict[str, tuple[int, bool]] = field(default_factory=dict)  # last start, and whether forgotten
+    intents: dict[str, tuple[Intent, int]] = field(default_factory=dict)  # by digest, and µs until it expires
+    drains: dict[str, int | None] = field(default_factory=dict)  # deadline (µs of runtime) to be empty
+    members: dict[str, tuple[int, bool]] = field(default_factory=dict)  # generation, whether declared gone
     faults: list[str] = field(default_factory=list)
 
     @property
     def whole(self) -> bool:
-        """Tell whether it may be taken for all that was ever told as durable."""
+        """Return whether the records may be taken for everything that was ever confirmed as durable."""
         return self.marked and self.life > 0 and not self.faults
 
 
 def recover(rows: Iterable[Kept]) -> Recovered:
-    """Read what was kept. A record that does not make sense makes the whole of it doubtful, never a crash."""
+    """Decode stored records; a malformed one is listed in `faults`, never raised."""
     found = Recovered()
     grants: dict[str, Grant] = {}
     intents: dict[str, Intent] = {}
@@ -168,7 +168,7 @@
         try:
             if row.value is None:
                 raise ValueError("no value")
-            if row.kind == Kind.GRANT.value:  # a million of them at a start
+            if row.kind == Kind.GRANT.value:  # there may be a million of them
                 grants[row.key] = _GRANTS.decode(row.value)
                 continue
             match Kind(row.kind):
@@ -200,12 +200,12 @@
 
 
 def next_life(wall_ms: int, before: int) -> int:
-    """Give a start's number: the clock's, but never again one that was given; both in ms since 1970."""
+    """Return a new generation: the wall clock's, but never one already used; both in ms since 1970."""
     return max(wall_ms, before + 1)
 
 
 class Keeper:
-    """Holds back what must not be told before its record is on disk; without a store nothing waits."""
+    """Writes records and calls back once they are durable; without a store it calls back at once."""
 
     def __init__(self, emit: Callable[[object], None]) -> None:
         self._emit = emit
@@ -215,11 +215,11 @@
         self._waiting: dict[int, Callable[[int, bool], None]] = {}
 
     def begin(self, now: int, ran: int) -> None:
-        """Start to keep, after so many µs that earlier lives ran."""
+        """Start writing, after earlier generations ran for `ran` µs."""
         self.on, self._began, self._ran, self._told = True, now, ran, ran
 
     def ran(self, now: int) -> int:
-        """Give µs that gateways of this name have run."""
+        """Return the total runtime in µs of the processes of this name."""
         return self._ran + now - self._began
 
     def keep(
@@ -231,9 +231,9 @@
         then: Callable[[int, bool], None] | None = None,
         gone: bool | None = None,
     ) -> None:
-        """Write a record, or take it out; `then(now, good)` hears that it is durable, or may be lost.
+        """Write or delete a record; `then(now, is_durable)` is called once that is durable or may be lost.
 
-        A value of None takes it out, where `gone` does not say otherwise.
+        A value of None deletes the record, unless `delete` says otherwise.
         """
         if not self.on:
             if then is not None:
@@ -252,7 +252,7 @@
         self._emit(Write(tuple(records), token))
 
     def written(self, now: int, event: Written) -> None:
-        """Go on with what waited."""
+        """Call back whoever waits for this write."""
         then = self._waiting.pop(event.token, None)
         if then is not None:
             then(now, event.good)
--- a/mintmast/decisions/gateways/talk.py
+++ b/mintmast/decisions/gateways/talk.py
@@ -1,7 +1,7 @@
-"""What gateways say to each other about paid keys, as events and commands: types and nothing else.
+"""Messages between gateways about paid keys, as events and commands; this module contains only types.
 
-Times are whole microseconds; a record is (digest, owner, number, µs still kept), an owner a gateway's name
-and start.
+Times are whole microseconds. A known claim is (digest, owner, number, µs until it expires); an owner is a
+gateway's name and generation.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 class Vote(Enum):
-    """What a witness says to a claim of a key."""
+    """Vote of a witness on a claim of a key."""
 
     GRANTED = "granted"
-    HELD = "held"  # another claim has it, or this one has been released
-    NONE = "none"  # it does not vote, or did not answer in time
+    HELD = "held"  # another claim holds the key, or this one has been released
+    NONE = "none"  # the witness does not vote, or did not reply in time
 
 
-# In
+# Events
 
 
 class PeerCall(msgspec.Struct, frozen=True, gc=False):
-    """Another gateway calls; `PeerReply` with the same `call` answers it in the same turn.
+    """A call of another gateway; the `PeerReply` with the same `call_id` answers it.
 
-    A claim or a release; with `learn` (a digest or "") it asks what is known after that; with `aside` it
-    says, under `version`, to the process of start `to`, whose votes its own do not count together with on
-    keys that both witness.
+    It is a claim or, with `release`, a release. With `learn_after` (a digest or "") it asks for the claims
+    known after that digest. With `excluded` it tells the process of generation `to_generation`, under
+    `version`, whose votes the caller's must not be combined with on keys that both witness.
     """
 
     call: int
@@ -47,10 +47,10 @@
 
 
 class Voted(msgspec.Struct, frozen=True, gc=False):
-    """A peer adapter: a witness's vote on the claim `number`, or that none came in time.
+    """From the peer transport: a witness's vote on the claim `number`, or that none came in time.
 
-    `without` names witnesses with whose votes this one does not count together; `start` is the witness's, 0
-    where it is not told.
+    `excluded` names witnesses whose votes must not be combined with this one; `generation` is the witness's,
+    0 if the reply does not state it.
     """
 
     peer: str
@@ -61,12 +61,12 @@
 
 
 class Learnt(msgspec.Struct, frozen=True, gc=False):
-    """A peer adapter: the answer to question `number`.
+    """From the peer transport: the reply to learn request `number`.
 
-    `more` says that there is more after the last record; `whole` is false where no answer came. `start` is
-    that of the gateway that answers; `unready` are those with whom as third witness it does not vote itself
-    on this gateway's keys; `covered` those held aside towards it by every life of this gateway; `before` is
-    the last start of this gateway that it knows of before the one that asks.
+    `more` is set if further records follow the last one; `answered` is false if no reply came. `generation`
+    is that of the replying gateway. `not_voting_with` are the third witnesses with which it does not vote
+    itself on this gateway's keys, `vouched_for` those excluded towards it by every generation of this
+    gateway, and `previous_generation` is the latest of this gateway that it knows of before the asking one.
     """
 
     peer: str
@@ -81,14 +81,14 @@
 
 
 class AsideTold(msgspec.Struct, frozen=True, gc=False):
-    """A peer adapter: another gateway has booked what is held aside, up to `version`; -1: no answer."""
+    """From the peer transport: a gateway has recorded exclusions up to `version`; -1 if no reply came."""
 
     peer: str
     version: int = -1
 
 
 class PeerStands(msgspec.Struct, frozen=True, gc=False):
-    """Membership: how another gateway stands, and its start as known; 0 for none."""
+    """From membership: another gateway's liveness and its known generation, 0 if none."""
 
     peer: str
     proof: Proof
@@ -96,16 +96,16 @@
 
 
 class Condemned(msgspec.Struct, frozen=True, gc=False):
-    """Membership: this process must not act under its name any more."""
+    """From membership: this process must no longer act under its name."""
 
     why: str
 
 
-# Out
+# Commands
 
 
 class SendClaim(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: claim a key at a witness; `Voted` tells the vote, by `until` (µs) at the latest."""
+    """To the peer transport: claim a key at a witness; `VoteReceived` follows by `deadline` (µs)."""
 
     peer: str
     digest: str
@@ -115,9 +115,9 @@
 
 
 class SendRelease(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: give a claim back; nobody hears whether it came.
+    """To the peer transport: release a claim; whether the release arrived is not reported.
 
-    `owner` is that of an earlier life of this gateway, "" for its own.
+    `owner` is that of an earlier generation of this gateway, "" for the present one.
     """
 
     peer: str
@@ -128,7 +128,7 @@
 
 
 class SendLearn(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: ask what another gateway knows after this digest; `Learnt` by `until` (µs)."""
+    """To the peer transport: ask for the claims known after a digest; `LearnReply` by `deadline` (µs)."""
 
     peer: str
     after: str
@@ -137,7 +137,10 @@
 
 
 class SendAside(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: tell a gateway's process of start `to` who is held aside; `AsideTold` by `until`."""
+    """To the peer transport: announce exclusions to the process of generation `to_generation`.
+
+    `ExclusionsAcknowledged` follows by `deadline` (µs).
+    """
 
     peer: str
     to: int
@@ -147,9 +150,10 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: answer a `PeerCall`; the fields as in `Voted`, `Learnt` and `AsideTold`.
+    """To the peer transport: answer a `PeerCall`.
 
-    Where it is not `good` the caller hears that there is no answer.
+    The fields are those of `VoteReceived`, `LearnReply` and `ExclusionsAcknowledged`. Unless `answered`, the
+    caller gets an error and counts it as no reply.
     """
 
     call: int
--- a/mintmast/decisions/gateways/witness.py
+++ b/mintmast/decisions/gateways/witness.py
@@ -1,8 +1,9 @@
-"""What a witness remembers of paid keys, and who a key's witnesses are.
+"""A witness's records of paid keys, and the choice of a key's witnesses.
 
-`vote`, `release` and `learn` are one key's machine, walked exhaustively by `tests/test_claims.py`. A witness
-grants a key to one claim at a time, until that claim is released or its time is over; two of three are a
-majority, and two majorities share a witness. `docs/design/paid-keys.md` has the whole.
+`vote_on_claim`, `release_claim` and `merge_known_claim` form the state machine of one key, which
+`tests/test_claims.py` explores exhaustively. A witness grants a key to one claim at a time, until that claim
+is released or its record expires; two of three are a majority, and any two majorities share a witness.
+`docs/design/paid-keys.md` describes the whole protocol.
 """
 
 from __future__ import annotations
@@ -15,44 +16,46 @@
 from mintmast.decisions.gateways.talk import Known, Vote
 
 SECOND = 1_000_000
-# gateways that are asked about a key: two of three go on when any one is dead; five would live through two
-# deaths, for two thirds more messages
+# witnesses per key: with three, any one may be dead; five would tolerate two deaths at the cost of two thirds
+# more messages
 WITNESSES = 3
-# µs for which a record is kept beyond the session's length: as long as a gateway keeps a spent key
+# µs for which a record outlives the session's length: as long as a gateway keeps a used key
 KEPT = 3600 * SECOND
-# µs; length taken for a session whose length is not known, a live one: no viewer watches longer
+# µs; length assumed for a session of unknown length, such as a live one: no viewer watches longer
 LONGEST = 24 * 3600 * SECOND
-# records of one witness: an hour of 100 paid sessions a second and as much again; some 200 MB. A witness that
-# is full does not vote
+# records per witness: twice an hour of 100 paid sessions a second, about 200 MB. A full witness does not vote
 MOST_RECORDS = 720_000
-# keys whose witnesses are kept: some 6 MB of the 64 for control, and the keys of an hour at nine a second
+# keys whose witnesses are cached: about 6 MB of the control plane's 64, and an hour of keys at nine a second
 MOST_PLACED = 32_768
-# records in one answer to a witness that learns: some 60 kB
+# records per page sent to a witness that is learning: about 60 kB
 LEARNT_AT_ONCE = 500
-# owner of a record of which two gateways tell different things; no gateway's name
+# owner of a record on which two gateways disagree; not a valid gateway name
 CONTESTED = "?"
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What a witness knows of a key: the claim that it granted, and those that it must never grant."""
+    """What a witness knows of a key: the claim it granted, and the claims it must never grant."""
 
-    owner: str = ""  # gateway and start of the claim's owner, "" for free
+    owner: str = ""  # gateway and generation of the claim's owner, "" if the key is free
     number: int = 0
-    released: tuple[tuple[str, int], ...] = ()  # of each owner the highest number that is over
+    released: tuple[tuple[str, int], ...] = ()  # highest released number of each owner
 
 
 def vote(record: Record, owner: str, number: int) -> tuple[Record, Vote]:
-    """Let a witness vote on a claim. A gateway asks for a key again only when its claim before is over."""
+    """Return the record after a claim and the vote on it.
+
+    A gateway claims a key again only after its previous claim has ended.
+    """
     if any(each == owner and number <= last for each, last in record.released):
-        return record, Vote.HELD  # it came late: nobody waits for this vote any more
+        return record, Vote.HELD  # a delayed claim: its owner has given it up and counts no more votes
     if not record.owner or (record.owner == owner and record.number <= number):
         return Record(owner, number, record.released), Vote.GRANTED
     return record, Vote.HELD
 
 
 def release(record: Record, owner: str, number: int) -> Record:
-    """Let a witness take a release; a claim that comes after it is never granted."""
+    """Return the record after a release; a claim that arrives after its release is never granted."""
     last = max([number, *(each for other, each in record.released if other == owner)])
     released = (*(each for each in record.released if each[0] != owner), (owner, last))
     if record.owner == owner and record.number <= number:
@@ -61,10 +64,10 @@
 
 
 def learn(record: Record, owner: str, number: int) -> Record:
-    """Let a witness that starts take what another gateway knows.
+    """Return the record of a starting witness after another gateway reported a claim.
 
-    Two gateways may know of two claims, as one of them may be under way or given up by now. Which of the two
-    this witness once granted cannot be told, so it grants neither; the other two witnesses decide.
+    Two gateways may report two claims, as one of them may be pending or abandoned by now. Which of the two
+    this witness once granted cannot be determined, so it grants neither and the other two witnesses decide.
     """
     if any(each == owner and number <= last for each, last in record.released):
         return record
@@ -74,12 +77,12 @@
 
 
 def digest_of(key: str) -> str:
-    """Give a key's name among gateways: of one length, and nothing of the viewer in it."""
+    """Return a key's digest as used between gateways: of fixed length and without data of the viewer."""
     return hashlib.blake2b(key.encode(), digest_size=16).hexdigest()
 
 
 def witnesses_of(digest: str, members: tuple[str, ...]) -> tuple[str, ...]:
-    """Give a key's witnesses by rendezvous hashing: the same for all who have the same members."""
+    """Return a key's witnesses by rendezvous hashing: the same at all gateways with the same members."""
 
     def weight(member: str) -> bytes:
         return hashlib.blake2b(f"{member} {digest}".encode(), digest_size=8).digest()
@@ -88,10 +91,11 @@
 
 
 class Rendezvous:
-    """Who witnesses each key among these members; those of the last keys that were asked for are kept.
+    """Selection of each key's witnesses among these members, with a cache of recently selected keys.
 
-    A key's witnesses are a hash a member. One key is asked for again at its vote, its release and by each
-    gateway that learns; each of those asks for all keys, and a start cost others times keys times members.
+    Selecting a key's witnesses takes one hash per member. A key is looked up at its vote, at its release and
+    for each gateway that learns; a learning gateway asks for all keys, so that without the cache one start
+    costs the product of gateways, keys and members.
     """
 
     def __init__(self, members: tuple[str, ...]) -> None:
@@ -99,7 +103,7 @@
         self._last: dict[str, tuple[str, ...]] = {}
 
     def of(self, digest: str) -> tuple[str, ...]:
-        """Give a key's witnesses."""
+        """Return a key's witnesses."""
         found = self._last.get(digest)
         if found is None:
             found = self._last[digest] = witnesses_of(digest, self.members)
@@ -109,18 +113,18 @@
 
 
 class Witness:
-    """One gateway's memory as a witness; `owner` names are gateway and start, `keep` is in µs."""
+    """Records of one gateway as a witness; an `owner` is a gateway and its generation, `keep` is in µs."""
 
     def __init__(self) -> None:
         self._records: dict[str, Record] = {}
         self._until: dict[str, int] = {}
-        self.forgotten: list[str] = []  # since someone took note
+        self.forgotten: list[str] = []  # digests dropped since the caller last cleared this
 
     def __len__(self) -> int:
         return len(self._records)
 
     def vote(self, now: int, digest: str, owner: str, number: int, keep: int) -> Vote:
-        """Vote on a claim."""
+        """Record a claim and return the vote on it."""
         self._sweep(now)
         record = self._records.get(digest, Record())
         if digest not in self._records and len(self._records) >= MOST_RECORDS:
@@ -130,26 +134,26 @@
         return told
 
     def release(self, now: int, digest: str, owner: str, number: int) -> None:
-        """Take a release."""
+        """Record a release."""
         if digest in self._records or len(self._records) < MOST_RECORDS:
-            # kept for as long as the claim may still be under way, and well beyond
+            # kept for as long as the claim's messages may be in flight, and well beyond
             self._put(digest, release(self._records.get(digest, Record()), owner, number), now + KEPT)
 
     def learn(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
-        """Take what another gateway knows; what was heard of a release since then stands."""
+        """Merge a claim that another gateway reported; releases received since then still hold."""
         record = learn(self._records.get(digest, Record()), owner, number)
         self._put(digest, record, now + min(keep, LONGEST + KEPT))
 
     def record(self, digest: str) -> tuple[Record, int]:
-        """Give what is remembered of a key, and until when (µs)."""
+        """Return the record of a key and when it expires (µs)."""
         return self._records.get(digest, Record()), self._until.get(digest, 0)
 
     def restore(self, now: int, digest: str, record: Record, keep: int) -> None:
-        """Take a record of an earlier life, still to be kept for so long."""
+        """Restore a record of an earlier generation, to be kept for another `keep` µs."""
         self._put(digest, record, now + keep)
 
     def known(self, now: int, after: str, wanted: Callable[[str], bool]) -> list[Known]:
-        """Give records that are held and wanted, by digest, those after one, at most `LEARNT_AT_ONCE`."""
+        """Return granted and wanted records after a digest, in order, at most `RECORDS_PER_PAGE`."""
         rest = sorted(each for each, record in self._records.items() if each > after and record.owner)
         found = islice(filter(wanted, rest), LEARNT_AT_ONCE)
         return [
@@ -160,10 +164,10 @@
     def _put(self, digest: str, record: Record, until: int) -> None:
         self._records[digest] = record
         until = max(until, self._until.pop(digest, 0))
-        self._until[digest] = until  # at the end: roughly in the order in which they are over
+        self._until[digest] = until  # re-inserted last, so that the order is roughly that of expiry
 
     def _sweep(self, now: int) -> None:
-        """Forget what is over, a few at a time: records come one by one."""
+        """Drop expired records, a few per call, as records are added one at a time."""
         for digest in [each for each, _ in zip(self._until, range(4), strict=False)]:
             if self._until[digest] <= now:
                 del self._until[digest], self._records[digest]
--- a/mintmast/decisions/gateways/witnessing.py
+++ b/mintmast/decisions/gateways/witnessing.py
@@ -1,7 +1,7 @@
-"""A gateway's part as a witness of paid keys: it votes, learns, lets others learn, and keeps what it must.
+"""A gateway's service as a witness of paid keys: voting, learning, answering other gateways, durable records.
 
-`witness.py` has one key's machine, `covers.py` says on which keys it may vote, `records.py` what is on disk
-before a word leaves; here they come together.
+It combines `witness.py` (the state machine of one key), `exclusions.py` (the keys on which the gateway may
+vote) and `records.py` (what must be on disk before a message is sent).
 """
 
 from __future__ import annotations
@@ -24,20 +24,23 @@
 from mintmast.decisions.messages import Say, Wake
 
 SECOND = 1_000_000
-# µs in which a vote counts: some round trips within a region and a turn of a busy loop; a viewer of a paid
-# title waits seconds. All that a starting witness must wait for
+# µs within which a vote counts: several round trips within a region plus one turn of a busy event loop, while
+# the viewer of a paid title waits for seconds. A starting witness waits for nothing longer than this
 CLAIM_TIME = SECOND // 4
-# µs between looks at what is to be asked of others and told to them
+# µs between reviews of the pending messages to other gateways
 LOOK_AGAIN = SECOND
-# µs between looks for each two other gateways, where there are more than so many: a look goes over all pairs,
-# some 1 µs each, and words of hundreds that start together would each bring one
+# above ALL_AT_ONCE members reviews are paced, by PAIR_TIME µs for each pair of gateways: a review goes over
+# all pairs at about 1 µs each, and each message of hundreds of gateways that start together triggers one
 PAIR_TIME, ALL_AT_ONCE = 4, 32
 
 Names = tuple[str, ...]
 
 
 class Witnessing:
-    """One gateway's part. `own(now)` gives the keys that it owns itself, `emit` takes commands."""
+    """Witness service of one gateway.
+
+    `own(now)` returns the keys that the gateway owns itself; `emit` receives commands.
+    """
 
     def __init__(
         self,
@@ -54,20 +57,20 @@
         self.keeper = Keeper(emit)
         self.covers = Covers(gateway, members, emit, self._save_aside)
         self.condemned = ""
-        self._marked = False  # the records are known to be whole on disk
+        self._marked = False  # the records on disk are marked as complete
         self._wakes_at = self._look_from = 0
         few = len(members) <= ALL_AT_ONCE
-        self._apart = 0 if few else PAIR_TIME * len(members) ** 2  # µs between looks
-        self._not_before = 0  # µs; until then claims of a life that the records do not know may be under way
+        self._apart = 0 if few else PAIR_TIME * len(members) ** 2  # µs between reviews
+        self._not_before = 0  # µs; until then claims of a generation missing from the records may be pending
         self._said: tuple[bool, list[str]] | None = None
 
     @property
     def voting(self) -> bool:
-        """Tell whether this gateway votes on all keys that can be decided."""
+        """Return whether this gateway votes on all keys that can be decided."""
         return self.covers.voting and not self.condemned
 
     def state(self) -> dict[str, object]:
-        """Tell operators what this gateway does as a witness."""
+        """Return the state of this witness for operators."""
         return {"votes": self.voting, "records": len(self.witness), **self.covers.state()}
 
     def vote(
@@ -79,7 +82,7 @@
         keep: int,
         then: Callable[[int, Vote, Names], None],
     ) -> None:
-        """Vote on a claim; `then(now, vote, without whom)` hears of it once it is durable."""
+        """Vote on a claim; `then(now, vote, excluded witnesses)` is called once the vote is durable."""
         witnesses = self._keys.of(digest)
         others = tuple(each for each in witnesses if each != self._gateway)
         if self.condemned or self._gateway not in witnesses or not self.covers.ready(others):
@@ -93,12 +96,12 @@
         self._save(now, digest, lambda at, good: then(at, told if good else Vote.NONE, without))
 
     def release(self, now: int, digest: str, owner: str, number: int) -> None:
-        """Take a release."""
+        """Record a release."""
         self.witness.release(now, digest, owner, number)
         self._save(now, digest)
 
     def begin_learning(self, now: int, kept: Recovered | None = None) -> None:
-        """Start, with what was kept of earlier lives; without a store nothing is known of them."""
+        """Start with the records of earlier generations, or without any if there is no store."""
         if kept is not None:
             self.keeper.begin(now, kept.ran)
         if not self._members:
@@ -120,7 +123,7 @@
         self._emit(Wake(now + wait, ("learn",)))
 
     def _save(self, now: int, digest: str, then: Callable[[int, bool], None] | None = None) -> None:
-        """Write what the witness remembers of a key, and take out what it has forgotten."""
+        """Save the witness's record of a key and delete those that expired."""
         gone, self.witness.forgotten = self.witness.forgotten, []
         for each in gone:
             self.keeper.keep(now, Kind.GRANT, each, None)
@@ -136,14 +139,14 @@
         self.keeper.keep(now, Kind.ASIDE, name, tuple(sorted(names)), then)
 
     def learn(self, now: int) -> None:
-        """Take it that the time of a look has come: the first one after what was under way is over."""
+        """Run a scheduled review, the first one once claims pending at the start are decided."""
         self._wakes_at = 0
         if now >= self._not_before:
             self.covers.begun = True
             self._look(now)
 
     def _look(self, now: int) -> None:
-        """Ask and tell the others what is due. Danger: a question is lost, and never asked again."""
+        """Send what is due to other gateways, so that a request that was lost is sent again."""
         if not self.covers.begun:
             return
         if now < self._look_from and not self.covers.stale:
@@ -155,7 +158,7 @@
             self.covers.doubt()
             self._marked = False
             self.keeper.keep(now, Kind.WHOLE, "", None)
-            self._emit(Say("records_old", (("why", "another gateway knows of a later life than they do"),)))
+            self._emit(Say("records_old", (("why", "another gateway has seen a later generation"),)))
             self._not_before = now + 2 * CLAIM_TIME
             self._emit(Wake(self._not_before, ("learn",)))
             return
@@ -171,13 +174,13 @@
             self._emit(Say(name, (("records", len(self.witness)), ("waits_for", told[1]))))
 
     def _wake(self, at: int) -> None:
-        """Look again at a time, or before."""
+        """Schedule a review for `at` (µs) or earlier."""
         if not self._wakes_at or at < self._wakes_at:
             self._wakes_at = at
             self._emit(Wake(at, ("learn",)))
 
     def learnt(self, now: int, event: Learnt) -> None:
-        """Take what another gateway knows."""
+        """Merge the claims that another gateway reported."""
         for digest, owner, number, keep in event.records:
             if self._gateway in self._keys.of(digest):
                 self.witness.learn(now, digest, owner, number, keep)
@@ -186,26 +189,26 @@
         self._look(now)
 
     def asided(self, now: int, event: AsideTold) -> None:
-        """Take note that another gateway has booked who is held aside, or has not."""
+        """Handle another gateway's acknowledgement of exclusions, or its absence."""
         self.covers.asided(now, event)
         self._look(now)
 
     def stands(self, now: int, event: PeerStands) -> None:
-        """Take how another gateway stands."""
+        """Handle a change of another gateway's liveness or generation."""
         if event.peer in self.covers.others:
             self.covers.stands(event.peer, event.proof, event.start)
             self._look(now)
 
     def condemn(self, now: int, event: Condemned) -> None:
-        """Take it that another process has this name, or that this one is held for dead.
+        """Stop acting as a witness: another process has this name, or the region holds this one for dead.
 
-        Danger: two processes of one name are one witness with two memories. So this one neither votes nor
-        claims, and tells nobody what it knows: it would pass for what the other knows.
+        Two processes of one name would be one witness with two memories. So this one neither votes nor
+        claims, nor reports what it knows, which would be taken for what the other process knows.
         """
         self.condemned = event.why
 
     def called(self, now: int, event: PeerCall) -> None:
-        """Answer another gateway."""
+        """Answer a call of another gateway."""
         name, _, start = event.owner.partition("/")
         if self.condemned and not event.release:
             self._emit(PeerReply(event.call, good=False))
@@ -242,7 +245,7 @@
         return PeerReply(event.call, Vote.NONE, tuple(records), more, (), unready, covered, -1, before)
 
     def _known(self, now: int, asker: str, after: str) -> list[Known]:
-        """Give what this gateway owns or has granted of the asker's keys, in one order over all calls."""
+        """Return claims owned or granted by this gateway on keys the asker witnesses, ordered by digest."""
 
         def wanted(digest: str) -> bool:
             return asker in self._keys.of(digest)
--- a/mintmast/decisions/hosts/__init__.py
+++ b/mintmast/decisions/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""What is believed of media hosts, and the list of them merged from its sources."""
+"""State of the media hosts, and the list of them merged from its sources."""
--- a/mintmast/decisions/hosts/drains.py
+++ b/mintmast/decisions/hosts/drains.py
@@ -1,7 +1,7 @@
-"""Drains ordered by operators here: which hosts, and when each is to be empty.
+"""Drains that operators ordered at this gateway: which hosts, and when each must be empty.
 
-An order is kept beside what list and host say, until it is taken back: a host that says it is ready does not
-undo it. The store stands behind `orders`.
+An order holds independently of the list and of the host until an operator revokes it: a host that reports
+itself ready does not end it. The orders are restored from the store after a restart.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 
 class Drains:
-    """The orders of one gateway."""
+    """Drain orders of one gateway."""
 
     def __init__(self) -> None:
-        self.orders: dict[bytes, int | None] = {}  # host: when it is to be empty (µs), None for not said
+        self.orders: dict[bytes, int | None] = {}  # by host: when it must be empty (µs), None if unspecified
 
     def take(self, now: int, event: Drain) -> None:
-        """Take an order, or its end."""
+        """Record an order or its revocation."""
         if event.on:
             self.orders[event.server] = None if event.within is None else now + event.within
         else:
             self.orders.pop(event.server, None)
 
     def ends(self, server: bytes) -> int | None:
-        """Give when an ordered drain is to be through."""
+        """Return when an ordered drain must be finished (µs), None if unspecified or not ordered."""
         return self.orders.get(server)
--- a/mintmast/decisions/hosts/handover.py
+++ b/mintmast/decisions/hosts/handover.py
@@ -1,4 +1,4 @@
-"""Hand-over of the list: what must stop at once goes to the module at once, the rest in bounded steps."""
+"""Handover of the host list to the module: removals and drains at once, long lists in bounded slices."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from mintmast.decisions.hosts.hostwatch import HostWatch
 from mintmast.decisions.messages import Unwatch, Wake, Watch
 
-# of a long list, entries that the module gets in a turn, lines opened in a turn, and µs between two such
-# turns: a list of 10,000 is through in half a second, and viewers are answered meanwhile
+# for a long list: entries handed to the module per turn, watches opened per turn, and µs between such turns.
+# A list of 10,000 takes half a second, and viewers are answered meanwhile
 ENTRIES_AT_ONCE, WATCHED_AT_ONCE, SLICE_EVERY = 500, 50, 2_000
 
 
 class HandOver:
-    """What of the list the module has not heard yet, and which hosts have a line."""
+    """List entries that the module has not received yet, and the hosts that are watched."""
 
     def __init__(self, watch: HostWatch, emit: Callable[[object], None]) -> None:
         self._watch, self._emit = watch, emit
@@ -24,7 +24,7 @@
         self._to_tell: deque[bytes] = deque()
 
     def lines(self, now: int, plays: Callable[[bytes], bool]) -> None:
-        """Open lines to hosts that are new, and close those to hosts that are gone and hold nothing."""
+        """Watch new hosts, and stop watching hosts that left the list and have no sessions."""
         for server, host in self._watch.hosts.items():
             gone = host.listed.state is api.ServerState.GONE
             if gone and server in self._watched and not plays(server):
@@ -36,7 +36,7 @@
         self.more_lines(now)
 
     def more_lines(self, now: int) -> None:
-        """Open lines to new hosts, a few in a turn: thousands of connections at once would stop the loop."""
+        """Watch new hosts, a few per turn: thousands of connections at once would block the event loop."""
         for _ in range(min(WATCHED_AT_ONCE, len(self._to_watch))):
             server = self._to_watch.popleft()
             if server in self._watched:
@@ -45,17 +45,17 @@
             self._emit(Wake(now + SLICE_EVERY, ("watches",)))
 
     def line_again(self, server: bytes) -> None:
-        """Open a line that broke."""
+        """Watch a host again after its connection broke."""
         if server in self._watched:
             self._emit(Watch(server))
 
     def line_lost(self, server: bytes, again: int) -> None:
-        """See to it that a broken line is tried again at `again`."""
+        """Schedule another attempt to watch a host whose connection broke, at `again` (µs)."""
         if server in self._watched:
             self._emit(Wake(again, ("watch", server)))
 
     def first(self, now: int, changed: list[api.ListEntry]) -> list[api.ListEntry]:
-        """Give those of the changed entries that the module hears now; the others are kept for later."""
+        """Return the changed entries that the module receives now; the others are queued."""
         ready = [entry for entry in changed if entry.state is api.ServerState.READY]
         if len(ready) > ENTRIES_AT_ONCE:
             self._to_tell.extend(entry.server for entry in ready[ENTRIES_AT_ONCE:])
@@ -65,11 +65,11 @@
         return changed
 
     def next(self) -> list[api.ListEntry]:
-        """Give the next slice, each entry as it is believed by now; `rest` is to be called after."""
+        """Return the next slice of queued entries; the caller calls `schedule_next_slice` afterwards."""
         some = [self._to_tell.popleft() for _ in range(min(ENTRIES_AT_ONCE, len(self._to_tell)))]
         return [self._watch.entry(self._watch.hosts[server]) for server in some]
 
     def rest(self, now: int) -> None:
-        """Wake for the slice after."""
+        """Schedule the next slice, if entries are queued."""
         if self._to_tell:
             self._emit(Wake(now + SLICE_EVERY, ("entries",)))
--- a/mintmast/decisions/hosts/hostwatch.py
+++ b/mintmast/decisions/hosts/hostwatch.py
@@ -1,16 +1,15 @@
-"""What is believed of each host: the list's word, the host's own, and what a broken line between them means.
-
-The module knows a host by a list entry. Three defences correct it, each by a fresh entry:
-
-* A host says how long it has run. Danger: a restart that the list tells late makes a cold host look warm.
-  Also guards against lists that never tell of starts. May hurt when a host tells a wrong age: it is paced as
-  cold.
-* The line to a host breaks. Danger: it may have restarted and the gateway cannot tell until it speaks again,
-  so its start counts as not before the next time it is asked. Where it refuses connections it does not run at
-  all, and counts as gone until it speaks. May hurt where only the line broke: the host is paced until it
-  says that it is the same process, and is then believed at once.
-* A host says that it drains. Danger: the list is late. It holds against a list that still calls it ready,
-  until the host itself takes it back, or starts anew. May hurt if a host says so by mistake.
+"""State of each host, from the list, from the host's own reports and from broken connections to it.
+
+The module knows a host by its list entry. Three rules correct that entry, each by sending a new one:
+
+* A host reports its process age. If the list reports a restart late, or never reports starts, a cold host
+  would look warm. Cost: a host that reports a wrong age is paced as cold.
+* The connection to a host breaks. It may have restarted, which is unknown until it is connected again, so its
+  start is assumed to be no earlier than the next connection attempt. If it refuses connections it does not
+  run and counts as gone until it is connected. Cost: if only the connection broke, the host is paced until it
+  reports the same process, and is trusted again at once.
+* A host reports that it drains. The list may be late, so this overrides a list that still calls it ready,
+  until the host withdraws it or restarts. Cost: a host that reports it by mistake is not used.
 """
 
 from __future__ import annotations
@@ -20,35 +19,35 @@
 from mintmast.interface import ListEntry, ServerState
 
 SECOND = 1_000_000
-# µs; first and longest wait before a broken line is tried again: a restart takes some hundred ms, and a host
-# that is down for long costs one try in two seconds. Halved at random, so that gateways do not come in step
+# µs; initial and maximum backoff before reconnecting: a restart takes some hundred ms, and a host that stays
+# down costs one attempt in two seconds. Jitter of up to a half keeps gateways from retrying in step
 RETRY_FIRST, RETRY_MOST = SECOND // 10, 2 * SECOND
 
 
 @dataclass(slots=True)
 class Watched:
-    """One host."""
+    """State of one host."""
 
     listed: ListEntry
-    process: str = ""  # the host's own name for its present life
-    born: int = 0  # its start as it tells, 0 for long ago or not told
-    drains: bool = False
-    ordered: bool = False  # drained by an operator's order here
-    lost_at: int = 0  # while the line is broken: when it was to be tried again for the first time
-    refuses: bool = False  # it took no connection when last asked
+    process: str = ""  # identifies the host's process, as it reports
+    born: int = 0  # start of the process (µs), 0 if long ago or not reported
+    drains: bool = False  # as the host reports
+    ordered: bool = False  # drained by an operator's order at this gateway
+    lost_at: int = 0  # µs; when the first reconnect was due, 0 while connected
+    refuses: bool = False  # at the last attempt
     tries: int = 0
-    told: ListEntry | None = None  # what the module was told last
+    told: ListEntry | None = None  # the entry last sent to the module
 
 
 class HostWatch:
-    """Beliefs about all hosts; methods give the entries that changed."""
+    """States of all hosts; methods return the list entries that changed."""
 
     def __init__(self) -> None:
         self.hosts: dict[bytes, Watched] = {}
-        self.ordered: set[bytes] = set()  # to be drained by an operator's order, listed or not
+        self.ordered: set[bytes] = set()  # hosts to be drained by an operator's order, listed or not
 
     def list_entries(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
-        """Take the list's news: changed entries, or all of them."""
+        """Apply entries of the list, all of them if `whole`, else the changed ones."""
         named = {entry.server for entry in entries}
         if whole:
             for server, host in self.hosts.items():
@@ -65,7 +64,7 @@
     def hello(
         self, now: int, server: bytes, process: str, age: int | None, drains: bool
     ) -> tuple[list[ListEntry], bool]:
-        """Take a host's first word on a new line; also tell whether it is another process than before."""
+        """Apply the first report on a new connection; also return whether the host's process changed."""
         host = self.hosts.get(server)
         if host is None:
             return [], False
@@ -78,7 +77,10 @@
         return self._changed([server]), other
 
     def lost(self, now: int, server: bytes, draw: float, refused: bool) -> tuple[list[ListEntry], int]:
-        """Take the end of a line, or a try in vain; give the time to try again. `draw` is from 0 to 1."""
+        """Record a lost connection or a failed attempt; also return when to retry (µs).
+
+        `draw` is a random number from 0 to 1 for the jitter.
+        """
         host = self.hosts.get(server)
         if host is None:
             return [], now + RETRY_MOST
@@ -90,7 +92,7 @@
         return self._changed([server]), now + wait
 
     def drain(self, server: bytes, drains: bool) -> list[ListEntry]:
-        """Take a host's word that it drains, or drains no more."""
+        """Apply a host's report that it drains or no longer drains."""
         host = self.hosts.get(server)
         if host is None:
             return []
@@ -98,7 +100,7 @@
         return self._changed([server])
 
     def order(self, server: bytes, drains: bool) -> list[ListEntry]:
-        """Take an operator's order to drain a host, or to take that back."""
+        """Apply an operator's order to drain a host, or its revocation."""
         (self.ordered.add if drains else self.ordered.discard)(server)
         host = self.hosts.get(server)
         if host is None:
@@ -107,7 +109,7 @@
         return self._changed([server])
 
     def entry(self, host: Watched) -> ListEntry:
-        """Give what is believed of a host."""
+        """Return a host's list entry, corrected by its own reports and its connection."""
         entry = host.listed
         if host.refuses:
             entry = replace(entry, state=ServerState.GONE)
@@ -119,9 +121,9 @@
         return replace(entry, started=started) if started != entry.started else entry
 
     def to_leave(self, server: bytes) -> bool:
-        """Tell whether what plays at a host had better go on elsewhere: it drains, or left the list.
+        """Return whether a host's sessions should move elsewhere, because it drains or left the list.
 
-        Where it takes no connections there is nothing left to move.
+        A host that refuses connections has nothing left to move.
         """
         host = self.hosts.get(server)
         return host is not None and not host.refuses and self.entry(host).state is not ServerState.READY
--- a/mintmast/decisions/hosts/merging.py
+++ b/mintmast/decisions/hosts/merging.py
@@ -1,19 +1,19 @@
-"""What the gateway believes of the list of servers: several sources, merged.
+"""List of servers merged from several sources.
 
-Pure: time and versions are handed in. A source gives whole versions, already checked. The merger keeps the
-last good one of each, and says which entries change. Its defences, each with what it is for:
+Performs no I/O: time and versions are passed in. A source supplies complete, validated versions. The merger
+keeps the last valid one of each source and returns the entries that changed. Its protections:
 
-* Self-preservation. Danger: a registry that returns half of its list for a moment empties the fleet. A
-  version that drops more than `SHARE` of the ready servers without saying that they are gone is held back for
-  `HOLD`, or until another source has dropped them too or the hosts themselves refuse connections. Also guards
-  against an operator's file saved half edited. May hurt when half of the fleet really leaves without a word:
+* Self-preservation: a registry that returns half of its list for a moment must not empty the fleet. A version
+  that drops more than `MAX_DROPPED_SHARE` of the ready servers without marking them as gone is held back for
+  `HOLD_US`, or until another source has dropped them too or the hosts themselves refuse connections. This
+  also covers an operator's file saved half edited. Cost: if half of the fleet really leaves without notice,
   its servers are tried for that long.
-* An explicit drain or gone is taken at once, from any source, whatever the others say. May hurt if one source
-  is wrong: the server is left alone until that source says otherwise.
-* Flapping. Danger: an entry that comes and goes sends viewers to a server that is not there. After `FLAPS`
-  losses in `FLAP_SPAN` it counts as ready only when it has been so for `STEADY`. May hurt a server restarted
-  by hand several times.
-* Silence is no news: a source that fails keeps its last version, and its age is told.
+* An explicit drain or removal is applied at once, from any source, whatever the others report. Cost: if one
+  source is wrong, the server is unused until that source corrects it.
+* Flap damping: an entry that comes and goes would send viewers to a server that is not there. After
+  `FLAP_LOSSES` losses within `FLAP_WINDOW_US` it counts as ready only after it was ready for `STEADY_US`.
+  Cost: a server restarted by hand several times is used late.
+* A failing source keeps its last version, whose age is reported.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 from mintmast.interface import ListEntry, ServerState
 
 SECOND = 1_000_000
-# part of the ready servers, and how many at least, that a version may drop without a word: releases take a
-# fifth of a fleet at a time, and a fleet of few servers loses one at any time
+# a version is held back if it drops more than this share of the ready servers and at least this many of them
+# without notice: rollouts take a fifth of a fleet at a time, and a small fleet may lose one at any time
 SHARE, FEW = 0.3, 2
-# µs for which such a version is held back: several polls of any source, and the time in which hosts that are
-# really gone have refused a connection
+# µs for which such a version is held back: several polls of any source, and long enough for hosts that are
+# really gone to refuse a connection
 HOLD = 10 * SECOND
-# losses in a span (µs) after which an entry is taken for flapping, and how long it must then be there (µs)
+# losses within a window (µs) that make an entry flapping, and how long it must then be ready (µs)
 FLAPS, FLAP_SPAN, STEADY = 3, 60 * SECOND, 10 * SECOND
 
 
 @dataclass(slots=True)
 class Source:
-    """One source as the merger knows it."""
+    """State of one source."""
 
     name: str
-    version: dict[bytes, ListEntry] | None = None  # the one in force
-    since: int = 0  # when it was last heard well, µs
-    held: dict[bytes, ListEntry] | None = None  # a version that drops too much
+    version: dict[bytes, ListEntry] | None = None  # the version in force
+    since: int = 0  # µs; last successful read
+    held: dict[bytes, ListEntry] | None = None  # a version that drops too many servers
     held_since: int = 0
-    fault: str = ""  # why the last try was in vain, '' where it was not
+    fault: str = ""  # why the last read failed, "" if it succeeded
 
 
 @dataclass(slots=True)
@@ -52,17 +52,17 @@
 
 
 class Merger:
-    """Merges sources; the earlier ones of `names` tell an entry's attributes where several have it."""
+    """Merges sources; an entry in several sources has the attributes of the earliest one in `names`."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.sources = {name: Source(name) for name in names}
         self.believed: dict[bytes, ListEntry] = {}
         self.refusing: set[bytes] = set()
-        self.notes: list[str] = []  # what was decided in the last call, for the log
+        self.notes: list[str] = []  # decisions of the last call, for the log
         self._history: dict[bytes, _History] = {}
 
     def offer(self, now: int, name: str, entries: tuple[ListEntry, ...]) -> list[ListEntry]:
-        """Take a checked version of a source; give the entries that change, those gone marked so."""
+        """Apply a validated version of a source; return the changed entries, removed ones marked as gone."""
         self.notes = []
         source = self.sources[name]
         version = {entry.server: entry for entry in entries}
@@ -70,38 +70,38 @@
         held_since = source.held_since if source.held is not None else now
         if self._too_much(source, version) and now - held_since < HOLD:
             if source.held is None:
-                self.notes.append(f"{name}: a version that drops too many servers is held back")
+                self.notes.append(f"{name}: version held back because it drops too many servers")
             source.held, source.held_since = version, held_since
-            # what it says aloud, and what it adds, is taken all the same
+            # its explicit states and its additions are applied all the same
             source.version = {**(source.version or {}), **version}
         else:
             source.version, source.held = version, None
         return self._merge(now)
 
     def failed(self, now: int, name: str, fault: str) -> list[ListEntry]:
-        """Take note that a source could not be read; its last version stays."""
+        """Record that a source could not be read; its last version stays in force."""
         self.notes = []
         self.sources[name].fault = fault
         return self._merge(now)
 
     def refuses(self, now: int, server: bytes, refuses: bool) -> list[ListEntry]:
-        """Take a host's own evidence: it refuses connections, or is there again."""
+        """Record that a host refuses connections, or accepts them again."""
         self.notes = []
         (self.refusing.add if refuses else self.refusing.discard)(server)
         return self.tick(now)
 
     def tick(self, now: int) -> list[ListEntry]:
-        """Let time pass: what was held back may be due."""
+        """Put versions in force whose hold has expired; return the changed entries."""
         for source in self.sources.values():
             if source.held is None:
                 continue
             if now - source.held_since >= HOLD or not self._too_much(source, source.held):
-                self.notes.append(f"{source.name}: the version held back is in force")
+                self.notes.append(f"{source.name}: version that was held back is now in force")
                 source.version, source.held = source.held, None
         return self._merge(now)
 
     def due(self, now: int) -> int | None:
-        """Give the time at which `tick` may change something; None for never."""
+        """Return the time (µs) at which `tick` may change something, None for never."""
         times = [source.held_since + HOLD for source in self.sources.values() if source.held is not None]
         times += [each.ready_since + STEADY for each in self._history.values() if self._flaps(now, each)]
         return min((at for at in times if at > now), default=None)
@@ -111,7 +111,7 @@
         ready = [server for server, entry in old.items() if entry.state is ServerState.READY]
         dropped = [server for server in ready if server not in version and server not in self.refusing]
         others = [each for each in self.sources.values() if each is not source and each.version is not None]
-        if others:  # a second opinion: what another source does not have either is not missed
+        if others:  # a server that no other source has either is not missed
             dropped = [s for s in dropped if any(s in (each.version or {}) for each in others)]
         return len(dropped) >= FEW and len(dropped) > SHARE * len(ready)
 
@@ -147,7 +147,7 @@
         if not history.ready_since:
             history.ready_since = now
         if self._flaps(now, history) and now - history.ready_since < STEADY:
-            self.notes.append(f"{entry.server.decode()}: flaps, and is not used until it is steady")
+            self.notes.append(f"{entry.server.decode()}: flapping, not used until it stays ready")
             return replace(entry, state=ServerState.DRAINING)
         return entry
 
--- a/mintmast/decisions/hosts/registry.py
+++ b/mintmast/decisions/hosts/registry.py
@@ -1,7 +1,7 @@
-"""Eureka's registry without I/O: instances, deltas and their hash, what to ask next and when.
+"""Reader of a Eureka registry without I/O: instances, deltas and their hash, the next request and its time.
 
-After the Eureka REST operations: `apps` gives all, `apps/delta` what changed lately, and `apps__hashcode`
-counts the instances by status, so that a reader that applied a delta to a wrong base can tell.
+Follows the Eureka REST operations: `apps` returns all instances, `apps/delta` the recent changes, and
+`apps__hashcode` counts the instances by status, so that a reader can detect a delta applied to a wrong base.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from mintmast.interface import ListEntry, ServerState
 
 SECOND = 1_000_000
-# states that a status stands for. OUT_OF_SERVICE is what operators set to empty a host. STARTING takes no
-# work yet. Of UNKNOWN nothing is known: nothing new goes there, what plays plays on
+# OUT_OF_SERVICE is what operators set to empty a host. STARTING accepts no work yet. UNKNOWN gets no new
+# sessions, but sessions that play go on
 STATES = {
     "UP": ServerState.READY,
     "OUT_OF_SERVICE": ServerState.DRAINING,
@@ -22,18 +22,17 @@
     "STARTING": ServerState.GONE,
     "DOWN": ServerState.GONE,
 }
-# full reads in place of deltas, at least one in so many polls: a hash of counts cannot see two errors that
-# cancel out
+# polls per full read in place of a delta: a hash of counts misses two errors that cancel out
 FULL_EVERY = 30
-# part of the poll's time by which polls are spread, so that hundreds of gateways do not ask at one moment
+# jitter as a share of the poll interval, so that hundreds of gateways do not poll at the same moment
 SPREAD = 0.2
-# fails of one address in a row before the next is asked
+# consecutive failures of one address before the next one is asked
 PATIENCE = 1
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One instance as a registry has it; `started` µs of the gateway's clock, 0 for not told."""
+    """One instance of a registry; `started` is in µs of the gateway's clock, 0 if not reported."""
 
     app: str
     id: str
@@ -47,13 +46,13 @@
 
 
 def hashcode(instances: Iterable[Instance]) -> str:
-    """Give `apps__hashcode`: each status and its count, in the order of the statuses' names."""
+    """Return `apps__hashcode`: each status and its count, ordered by status name."""
     counts = Counter(instance.status for instance in instances)
     return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
 
 def entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
-    """Give the list that the instances of `app` stand for; of two on one address the later started counts."""
+    """Return the list entries of an app; of two instances on one address the later started one counts."""
     best: dict[str, Instance] = {}
     for each in instances:
         if each.app.upper() != app.upper():
@@ -77,40 +76,39 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Decides what to ask, and what an answer is worth. `addresses` are tried in turn from the first.
+    """Chooses requests and applies replies. `addresses` are tried in turn from the first.
 
-    `every` is the time between polls in µs. Danger: a registry's replica that lags, or a delta on a wrong
-    base, would take servers back that are gone. A delta counts only if the hash agrees after it, else
-    everything is read.
+    `poll_interval` is in µs. A lagging replica, or a delta on a wrong base, would bring back servers that are
+    gone, so a delta counts only if the hash matches afterwards; otherwise everything is read again.
     """
 
     addresses: tuple[str, ...]
     every: int
     known: dict[tuple[str, str], Instance] = field(default_factory=dict)
-    at: int = 0  # which address
-    whole: bool = False  # something was read in full, so that a delta has a base
+    at: int = 0
+    whole: bool = False  # a full read succeeded, so that a delta has a base
     polls: int = 0
     fails: int = 0
 
     def ask(self) -> tuple[str, bool]:
-        """Give the address to ask and whether a delta will do."""
+        """Return the address to ask and whether to request a delta."""
         delta = self.whole and self.polls % FULL_EVERY != 0
         self.polls += 1
         return self.addresses[self.at % len(self.addresses)], delta
 
     def next(self, now: int, draw: float) -> int:
-        """Give when to ask next; `draw` from 0 to 1 spreads the polls, never later than `every`."""
+        """Return when to poll next (µs); `draw`, from 0 to 1, shortens the interval by the jitter."""
         return now + int(self.every * (1 - SPREAD * draw))
 
     def full(self, instances: Iterable[Instance]) -> bool:
-        """Take a full read; true where anything changed."""
+        """Apply a full read; return whether anything changed."""
         new = {(each.app, each.id): each for each in instances}
         changed, self.known = new != self.known or not self.whole, new
         self.whole, self.fails = True, 0
         return changed
 
     def delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
-        """Take changes as (action, instance) and the hash told; None where all must be read anew."""
+        """Apply changes (action, instance); return whether any was made, None if a full read is needed."""
         new = dict(self.known)
         for action, each in changes:
             if action == "DELETED":
@@ -125,7 +123,7 @@
         return changed
 
     def failed(self) -> None:
-        """Take a try in vain: the next address is asked, in full, as replicas differ."""
+        """Record a failed poll; the next address is read in full, because replicas differ."""
         self.fails += 1
         if self.fails % PATIENCE == 0 and len(self.addresses) > 1:
             self.at += 1
--- a/mintmast/peers/__init__.py
+++ b/mintmast/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways of a region say to each other."""
+"""Transport between the gateways of a region."""
 
 from mintmast.peers.lines import PeerLines
 from mintmast.peers.roster import Roster, address_of
--- a/mintmast/peers/lines.py
+++ b/mintmast/peers/lines.py
@@ -1,9 +1,10 @@
-"""Calls between gateways: HTTP/1.1 on kept connections, JSON bodies, both ways under a MAC (RFC 2104).
+"""Calls between gateways: HTTP/1.1 on persistent connections, JSON bodies, an HMAC on both (RFC 2104).
 
-`POST /v1/peers`, one claim, release or question a call. The MAC covers the body, which names its sender, the
-time and a digest of the list of members; the answer's MAC covers the call's, so that no answer can be taken
-for another's. A call that is not good is answered 400, 401 or 409, and counts as no vote at the caller.
-`docs/design/peer-protocol.md` has it all.
+Each `POST /v1/peers` carries one claim, release, learn request, announcement of exclusions or request for
+revisions. The MAC covers the body, which names the sender, the time and a digest of the list of members. The
+reply's MAC also covers the call's, so that no reply can pass for that of another call. An invalid call is
+answered with 400, 401 or 409 and counts as no vote at the caller. `docs/design/peer-protocol.md` is the full
+description.
 """
 
 from __future__ import annotations
@@ -38,15 +39,15 @@
 
 PATH = "/v1/peers"
 MAC = "mintmast-mac"
-# calls under way to one peer; a further one is not sent and counts as no answer. A peer that stands still
-# holds so many for a quarter of a second, some 200 kB
+# calls in flight to one peer; a further one is not sent and counts as unanswered. A peer that hangs holds so
+# many for a quarter of a second, about 200 kB
 MOST_OUT = 1000
-# bytes of a call: one that names every other gateway of the largest region with the longest names
+# bytes of a call body: enough to name every other gateway of the largest region with the longest names
 CALL_BYTES = 32_768
 
 
 class Body(msgspec.Struct, omit_defaults=True):
-    """A call; times in ms but `at`, which is seconds since 1970."""
+    """Body of a call; times are in ms except `at`, in seconds since 1970."""
 
     owner: str
     at: float
@@ -63,7 +64,7 @@
 
 
 class Answer(msgspec.Struct, omit_defaults=True):
-    """An answer; records are (digest, owner, number, ms still kept)."""
+    """Body of a reply; records are (digest, owner, number, ms until expiry)."""
 
     vote: str = Vote.NONE.value
     records: tuple[Known, ...] = ()
@@ -78,10 +79,10 @@
 
 
 class PeerLines:
-    """Speaks to the other gateways for the core, and answers them.
+    """Client and server of the calls between this gateway and the others.
 
-    `members` are names and addresses of all gateways, `secrets` sign (the first) and verify (all), `skew` is
-    how old a call may be in seconds.
+    `members` maps the names of all gateways to addresses. The first of `secrets` signs, all of them verify.
+    `skew` is the maximum difference in seconds between a call's time and the local clock.
     """
 
     def __init__(
@@ -100,8 +101,8 @@
         self._secrets = [each.encode() for each in secrets]
         self._list = hashlib.blake2b(" ".join(sorted(members)).encode(), digest_size=8).hexdigest()
         self._events = events
-        self.roster: Callable[[bytes], bytes | None] | None = None  # answers words of membership
-        # answers questions for revisions; None where settings have no `configuration`
+        self.roster: Callable[[bytes], bytes | None] | None = None  # answers gossip messages
+        # answers requests for revisions; None if the settings have no `configuration`
         self.revisions: Callable[[Question], Revised | None] | None = None
         self._out: dict[str | Address, int] = dict.fromkeys(members, 0)
         self._client = HttpClient(loop, ClientLimits(idle_each=32, body_bytes=1 << 20), f"mintmast/{gateway}")
@@ -110,10 +111,10 @@
         )
         self.server = HttpServer(loop, *listen, self._handle, limits)
 
-    # Calls
+    # Client
 
     def claim(self, call: SendClaim) -> None:
-        """Claim a key at a witness; the vote is told once, and never before this returns."""
+        """Send a claim to a witness; the vote is reported exactly once, after this returns."""
 
         def done(answer: Answer | None) -> None:
             told = Answer() if answer is None else answer
@@ -123,13 +124,13 @@
         self._call(call.peer, body, call.until, done)
 
     def release(self, call: SendRelease) -> None:
-        """Give a claim back."""
+        """Send the release of a claim."""
         body = self._body(digest=call.digest, number=call.number, release=True)
         body.owner = call.owner or self._owner
         self._call(call.peer, body, call.until, lambda answer: None)
 
     def learn(self, call: SendLearn) -> None:
-        """Ask what another gateway knows after a digest; what it says is told once."""
+        """Request the claims that another gateway knows; the reply is reported exactly once."""
 
         def done(answer: Answer | None) -> None:
             if answer is None:
@@ -145,7 +146,7 @@
         self._call(call.peer, self._body(learn=call.after), call.until, done)
 
     def aside(self, call: SendAside) -> None:
-        """Tell another gateway who is held aside; that it was booked is told once, or that no answer came."""
+        """Send exclusions to another gateway; the acknowledgement or its absence is reported exactly once."""
 
         def done(answer: Answer | None) -> None:
             self._events.heard(AsideTold(call.peer, -1 if answer is None else answer.version))
@@ -156,9 +157,9 @@
     def ask_revisions(
         self, place: str | Address, call: AskRevisions, take: Callable[[Pulled | PullFailed], None]
     ) -> None:
-        """Ask a gateway, by name or by address, for revisions; `take` hears once, never before this returns.
+        """Request revisions from a gateway, given by name or address; calls `take` once, after this returns.
 
-        Its list of members is not asked for: configuration must reach gateways whose lists differ.
+        The call carries no digest of the members: configuration must reach gateways whose lists differ.
         """
 
         def done(answer: Answer | None) -> None:
@@ -211,13 +212,13 @@
         told = shown.encode("utf-8", "replace")
         return any(hmac.compare_digest(self._mac(each, data).encode(), told) for each in self._secrets)
 
-    # Answers
+    # Server
 
     def _handle(self, exchange: Exchange) -> None:
         if exchange.path == roster.PATH and exchange.method == "POST" and self.roster is not None:
             told = self.roster(exchange.body)
             if told is None:
-                exchange.problem(401, "not a word that wants an answer")
+                exchange.problem(401, "gossip message is not authentic or expects no reply")
             else:
                 exchange.respond(200, [("Content-Type", "application/octet-stream")], told)
             return
@@ -226,21 +227,21 @@
             return
         mac = exchange.headers.get(MAC, "")
         if not self._good(mac, exchange.body):
-            exchange.problem(401, "the call is not signed with a secret known here")
+            exchange.problem(401, "call is not signed with a known secret")
             return
         try:
             body = msgspec.json.decode(exchange.body, type=Body)
         except (msgspec.DecodeError, RecursionError) as error:
-            exchange.problem(400, f"not a call: {error}")
+            exchange.problem(400, f"call body is invalid: {error}")
             return
         if abs(body.at - self._loop.wall()) > self._skew:
-            exchange.problem(401, "the call is too old, or clocks differ too much")
+            exchange.problem(401, "call is too old, or clocks differ too much")
         elif body.revisions is not None:
             self._tell(exchange, body.revisions, mac)
         elif body.members != self._list or body.owner.partition("/")[0] not in self._members:
-            exchange.problem(409, "the list of gateways is another one here")
+            exchange.problem(409, "caller's list of gateways differs from this gateway's")
         elif body.learn is None and body.aside is None and not body.digest:
-            exchange.problem(400, "a claim names a digest")
+            exchange.problem(400, "claim has no digest")
         else:
             keep = max(0, body.keep_ms) * 1000
             digest, number = body.digest[:64], body.number
@@ -250,7 +251,7 @@
 
     def _respond(self, exchange: Exchange, told: PeerReply, mac: str) -> None:
         if not told.good:
-            exchange.problem(503, "this process must not act under its name any more")
+            exchange.problem(503, "this process must no longer act under its name")
             return
         records = tuple((digest, owner, number, keep // 1000) for digest, owner, number, keep in told.records)
         more = told.more, told.without, self._start, told.unready, told.covered, told.version, told.before
@@ -259,7 +260,7 @@
     def _tell(self, exchange: Exchange, question: Question, mac: str) -> None:
         told = None if self.revisions is None else self.revisions(question)
         if told is None:
-            exchange.problem(400, "no question, or no configuration is shared here")
+            exchange.problem(400, "request is invalid, or this gateway shares no configuration")
         else:
             self._send(exchange, Answer(revisions=told), mac)
 
@@ -269,5 +270,5 @@
         exchange.respond(200, [("Content-Type", "application/json"), (MAC, signed)], data)
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Close the server; no further calls are accepted."""
         self.server.close()
