--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of paid keys: the machine walked exhaustively, gateways in random weather, peers' bytes."""
+"""Claims of paid keys: exhaustive model check, gateways under random faults, calls between gateways."""
 
 import json
 import random
@@ -16,12 +16,12 @@
 from mintmast.http.client import HttpClient
 from mintmast.lab import drills
 
-# The model: gateways A and B claim one key at three witnesses, each of which votes as `vote` does; one is A's
-# own. Messages stay under way for ever once sent: each may arrive late, any number of times, or never
-# (with `losses`, else only when one is dead). One gateway dies at any moment; its witness comes back without
-# memory and learns. The other two witnesses are alike, so states that differ only in their order are one.
-# Claimant: (stage, number, ran, lives). Witness: (record, votes at all, whose it is, its votes as A and B
-# counted them, messages between it and the claimants). Then who died, and the claims that were asking then.
+# The model: gateways A and B claim one key at three witnesses, which vote by `vote_on_claim`; one witness is A
+# itself. A message that was sent stays in flight for ever: it may arrive late, any number of times, or never
+# (with `losses`, else only after a death). One gateway dies at any moment; its witness restarts without memory
+# and learns. The other two witnesses are alike, so states that differ only in their order are one state.
+# Claimant: (state, number, ran, is alive). Witness: (record, votes at all, its gateway, its votes as A and B
+# counted them, messages between it and the claimants). Then what died, and the claims pending at that moment.
 NAMES = "AB"
 FRESH = ("", 0, ()), True, "", ("", ""), ()
 START = (("", 0, False, True),) * 2, (FRESH, FRESH, (*FRESH[:2], "A", *FRESH[3:])), "", ()
@@ -44,7 +44,7 @@
 
 
 def died(witness):
-    """What was under way to it is lost with its connections; its old votes are still under way."""
+    """Return a witness after its death: messages to it are lost with its connections, its votes are not."""
     return FRESH[0], False, witness[2], witness[3], tuple(m for m in witness[4] if m[0] == "vote")
 
 
@@ -53,7 +53,7 @@
 
 
 def settled(claimants, witnesses, c):
-    """Let a claimant look at its votes, and release what it does not keep."""
+    """Update a claimant's state from its votes; release the claim unless it is pending or owns the key."""
     _, number, ran, lives = claimants[c]
     votes = [each[3][c] for each in witnesses]
     told = Tally(votes.count("granted"), votes.count("held"), votes.count("none"))
@@ -115,16 +115,16 @@
 
 
 def one_of_alike(state):
-    """Take out what can change nothing any more, and bring the witnesses into one order."""
+    """Return the canonical form of a state: messages without effect removed, witnesses sorted."""
     claimants, witnesses, dead, asking = state
     bundles = []
     for record, voting, home, votes, net in witnesses:
         left = []
         for m in net:
             stage, now, _, lives = claimants[m[1]]
-            if m[0] == "vote":  # counted, or for a try that is over
+            if m[0] == "vote":  # counted already, or of an attempt that has ended
                 keep = lives and stage == "asking" and now == m[2] and not votes[m[1]]
-            else:  # a release that has come; a claim after it is never granted, a copy adds nothing
+            else:  # a release that arrived; a later claim is never granted, and a copy changes nothing
                 voted = (
                     ("vote", m[1], m[2], "granted") in net or votes[m[1]] or (stage, now) != ("asking", m[2])
                 )
@@ -132,7 +132,7 @@
                 keep = not copy and not any(each == NAMES[m[1]] and m[2] <= last for each, last in record[2])
             if keep:
                 left.append(m)
-        # votes count for nothing once the claimant has decided
+        # votes have no effect once the claimant has decided
         counted = tuple(
             told if claimants[c][0] == "asking" and claimants[c][3] else "" for c, told in enumerate(votes)
         )
@@ -153,7 +153,7 @@
             assert sum(each[2] for each in after[0]) <= 1, f"charged twice: {after}"
             seen.add(after)
             front.append(after)
-            assert len(seen) < most, "more states than were told"
+            assert len(seen) < most, "more states than allowed"
     return seen
 
 
@@ -182,9 +182,9 @@
 
 
 class Region:
-    """Gateways' claims on one clock, with messages that take their time, get lost, or come twice.
+    """Claims of several gateways on one clock; messages are delayed, lost or duplicated.
 
-    `cut` names dead processes, `lost` machines that say nothing more; membership is told what it would find.
+    `cut` names dead processes, `lost` unreachable machines; gateways are notified as membership would do.
     """
 
     def __init__(self, seed, names, lose=0.1):
@@ -234,7 +234,7 @@
             self.told(name, other, Proof.HEARD)
 
     def told(self, name, about, proof):
-        """Let a gateway's membership tell it of another, if that is so still."""
+        """Report another gateway's liveness to a gateway, if it still holds."""
         so = {Proof.REFUSED: about in self.cut, Proof.CONFIRMED: {name, about} & self.lost}
         apart = {name, about} & self.lost and proof is not Proof.CONFIRMED
         if name != about and name not in self.cut and so.get(proof, about not in self.cut) and not apart:
@@ -315,7 +315,7 @@
         self.now = until
 
     def settle(self, most=20):
-        """Let it run until all that run vote; tell whether they do."""
+        """Run until all reachable gateways vote; return whether they do."""
         for _ in range(most):
             if all(
                 self.parts[each][0].part.voting for each in self.names if each not in self.cut | self.lost
@@ -326,7 +326,7 @@
 
 
 def stormy(seed, names, events=25):
-    """Play asks, copies, deaths one at a time, and one machine at a time that is lost for a while."""
+    """Run random requests, copies, single deaths and one unreachable machine at a time."""
     region = Region(seed, names)
     draw, session, freed, unsettled = region.random, 0, 0, 0
     region.run(region.now + 3 * SECOND)
@@ -334,7 +334,7 @@
         name = draw.choice(region.names)
         what = draw.choice(("ask", "ask", "ask", "free", "die", "lose", "wait"))
         part = region.parts[name][0]
-        waits = any(part.pending(each) for each in range(session + 1))  # the book lets such asks join
+        waits = any(part.pending(each) for each in range(session + 1))  # the session book merges such requests
         if what == "ask" and not waits:
             session += 1
             part.begin(region.now, session, "key", 0, region.now + SECOND)
@@ -352,7 +352,7 @@
                 region.find_machine(next(iter(region.lost)))
             region.run(region.now + draw.choice((SECOND, 6 * SECOND)))
         elif what == "die" and name not in region.lost and region.settle(1):
-            # what it owned may have run, so it is owned for good; the others vote
+            # what it owned may have run, so the key stays owned; the others vote
             held = region.owners.get("key")
             region.die(name)
             region.run(region.now + draw.choice((SECOND // 10, SECOND)))
@@ -477,7 +477,7 @@
     begin = region.now
     region.run(begin + SECOND)
     assert [each[1:] for each in region.said] == [(alive, 1, "")]
-    assert region.said[0][0] - begin <= 5000  # a round trip: the silent one is not waited for
+    assert region.said[0][0] - begin <= 5000  # one round trip, without waiting for the dead gateway
 
 
 def test_a_gateway_that_stood_still_counts_no_vote_that_came_meanwhile():
@@ -498,7 +498,7 @@
     keep = 600 * SECOND + witness.KEPT
     assert keeper.vote(0, "k", "a/1", 1, keep) is Vote.GRANTED
     assert keeper.vote(keep - 1, "k", "b/1", 1, keep) is Vote.HELD
-    for n in range(20):  # others come, and what is over goes
+    for n in range(20):  # new records arrive and expired ones are dropped
         keeper.vote(3 * keep + n, f"x{n}", "a/1", 2 + n, keep)
     assert keeper.vote(3 * keep + 30, "k", "b/1", 1, keep) is Vote.GRANTED
     monkeypatch.setattr(witness, "MOST_RECORDS", len(keeper))
@@ -506,7 +506,7 @@
 
 
 def ask_peer(small, body, mac=None, path="/v1/peers"):
-    """Call a gateway's peer address with these bytes."""
+    """Send these bytes to a gateway's peer address; return the reply."""
     replies = []
     lines = small.stage.gateways[0].peers
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -575,7 +575,7 @@
     assert wrong["rules"]["set_up_once"]["broken"] > 10
 
 
-if __name__ == "__main__":  # the whole walk, with losses: some minutes
+if __name__ == "__main__":  # the whole state space with losses takes some minutes
     print(len(walk((1, 1), losses=True)), "states")
 
 
@@ -594,7 +594,7 @@
     for asker in members[1:]:
         claims.part.called(0, talk.PeerCall(1, f"{asker}/1", learn=""))
     assert len(placed) - before == len(digests)
-    for n in range(200):  # and what is kept is bounded, the oldest going first
+    for n in range(200):  # the cache is bounded and drops the oldest entries first
         keys.of(witness.digest_of(f"more {n}"))
     assert len(keys._last) == 50 and digests[0] not in keys._last
     assert keys.of(digests[0]) == plain(digests[0], members)
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -1,4 +1,4 @@
-"""Whose word a witness may do without: three gateways' own machines walked through every order of events."""
+"""Exclusions among witnesses: model check of three gateways over every order of events."""
 
 import inspect
 import pickle
@@ -14,19 +14,19 @@
 from mintmast.decisions.gateways.talk import AsideTold, Learnt, SendLearn, Vote
 from mintmast.decisions.gateways.witness import Record, learn, vote
 
-# The model: one key, witnesses a, w and x, claims p and q. A claim owns the key as soon as votes that count
-# together are a majority, so every order and loss of votes is in it. Words and questions may come late, in
-# any order, doubled (words) or never; who is held for out of reach is drawn freely, right or wrong. A
-# gateway dies only while the others vote on the key; its claims under way are over before it learns. Each
-# gateway is the real machine; what it does in a state of its own on an event is worked out once and kept.
+# The model: one key, witnesses a, w and x, claims p and q. A claim owns the key as soon as votes that may be
+# combined are a majority, which covers every order and loss of votes. Exclusions and learn requests may arrive
+# late, in any order, twice (exclusions) or never; a gateway may hold another for unreachable rightly or
+# wrongly. A gateway dies only while the others vote on the key; its pending claims end before it learns. Each
+# gateway runs the real code; its reaction to an event in a given state is computed once and cached.
 NAMES = ("a", "w", "x")
-# who may hold whom for out of reach, to and fro once
+# who may hold whom for unreachable, changing once to and fro
 WX, WA = ("w", "x"), ("w", "a")
 UNSURE = (WX, WA)
 
 
 class Life:
-    """One process: its machine, what it remembers of the key, what it sends."""
+    """One process: its exclusions, its record of the key, the messages that it sends."""
 
     def __init__(self, name, start):
         self.name, self.start, self.out, self.record = name, start, [], Record()
@@ -45,7 +45,7 @@
         record = self.record.owner, self.record.number
         return repr((self.name, self.start, record, part._all, part.begun, part._asked, rows))
 
-    # Events; each gives what the world must know
+    # Events; each returns what the model needs to know
 
     def first(self):
         self.covers.begun = self.covers._all = True
@@ -62,7 +62,7 @@
         return about.out
 
     def look(self):
-        """Look as gateways do after each event; gives what is sent."""
+        """Send what is due, as gateways do after each event; return the messages."""
         self.covers.go_on(0)
         sent = []
         for command in self.out:
@@ -75,14 +75,14 @@
         return tuple(sent)
 
     def again(self):
-        """No answers came: all that is open is asked again with the next look."""
+        """Let all deadlines pass, so that unanswered messages are sent again."""
         for other in self.covers.others.values():
             other.sent_until = 0
             if other.read is not None:
                 other.read.until = 0
 
     def begin(self, heard):
-        """The time of claims under way at the last death is over; membership tells who is heard."""
+        """End the claims that were pending at the last death; report reachable gateways."""
         self.covers.begun = True
         for name, start in heard:
             self.covers.stands(name, Proof.HEARD, start)
@@ -106,14 +106,14 @@
         self.covers.asided(0, AsideTold(peer, booked))
 
     def about(self):
-        """Give what the world sees of it: votes on the key, has begun, waits for answers; words sent."""
+        """Return whether it votes on the key, has begun and waits for replies, and its generation."""
         rows = self.covers.others.values()
         waits = any(other.sent_until or other.read is not None for other in rows)
         return self.covers.ready(self.others), self.covers.begun, waits, self.start
 
 
 class Machines:
-    """All states of all lives, by number."""
+    """All states of all processes, by number."""
 
     def __init__(self):
         self.states, self.numbers, self.steps, self.abouts, self.sizes = [], {}, {}, [], []
@@ -146,7 +146,7 @@
 
 
 def successors(state, machines):
-    """Give (step, state) of all that may happen."""
+    """Yield (step, state) for each event that may happen."""
     lives, votes, closed, net, deaths, flips = state
     about = [machines.abouts[each] for each in lives]
 
@@ -154,12 +154,12 @@
         number, told, sent = machines.take(lives[place], event)
         return put(lives, place, number), told, carried(net, NAMES[place], sent)
 
-    for claim in (0, 1) if votes[0] or closed[0] else (0,):  # the two are alike
+    for claim in (0, 1) if votes[0] or closed[0] else (0,):  # the two claims are alike
         for place, name in enumerate(NAMES):
             if not closed[claim] and about[place][0] and all(name != each for each, _ in votes[claim]):
                 now, told, _ = after(place, ("vote", "pq"[claim]))
                 if told is None:
-                    continue  # held: nothing changes
+                    continue  # refused: nothing changes
                 cast = put(votes, claim, tuple(sorted((*votes[claim], (name, told)), key=str)))
                 yield ("vote", "pq"[claim], name, told), (now, cast, closed, net, deaths, flips)
     for name, other in flips:
@@ -167,7 +167,7 @@
         rest = flips if out else tuple(each for each in flips if each != (name, other))
         yield ("flip", name, other, out), (now, votes, closed, left, deaths, rest)
     for place, name in enumerate(NAMES):
-        if not about[place][1]:  # what was under way is over
+        if not about[place][1]:  # claims that were pending have ended
             over = tuple(bool(each) or was for each, was in zip(votes, closed, strict=True))
             kept = tuple(each if owned(each) else () for each in votes)
             unsure = {other for each, other in UNSURE if each == name}
@@ -187,7 +187,7 @@
 
 
 def carried(net, name, sent):
-    """Put what a gateway sends under way; a question that is asked again takes the place of the first."""
+    """Return the messages in flight after a send; a repeated learn request replaces the first."""
     if not sent:
         return net
     asked = {m[3] for m in sent if m[0] == "question"}
@@ -196,7 +196,7 @@
 
 
 def come(message, state, machines):
-    """Let a message come; a word stays under way, as it may come again."""
+    """Yield the state after a message arrives; exclusions stay in flight, as they may arrive again."""
     lives, votes, closed, net, deaths, flips = state
     kind, name, start, peer, *rest = message
     at, back = NAMES.index(peer), NAMES.index(name)
@@ -223,7 +223,7 @@
 
 
 def idle(message, state, machines):
-    """Tell whether a word's coming changes nothing any more: it came, or a later one did."""
+    """Return whether another arrival of exclusions changes nothing: they or later ones arrived already."""
     if message[0] != "word":
         return False
     lives = state[0]
@@ -236,12 +236,12 @@
 
 
 def bounded(state, machines, words, asked):
-    """Tell whether each life has sent no more words to one other, and questions in all, than that."""
+    """Return whether no process sent more exclusions to one peer, or learn requests in all, than that."""
     return all(machines.sizes[each][0] <= words and machines.sizes[each][1] <= asked for each in state[0])
 
 
 def walk(deaths, flips, words=1, asked=2, most=3_000_000):
-    """Walk all states; gives how many. The path to a state with two owners is told."""
+    """Explore all states and return their number; a state with two owners raises with the path to it."""
     machines = Machines()
     lives = tuple(machines.take(machines.new(name, 1), ("first",))[0] for name in NAMES)
     first = lives, ((), ()), (False, False), frozenset(), deaths, flips
@@ -263,12 +263,12 @@
                     path.append(str(step))
                 raise AssertionError("two owners: " + "\n".join(reversed(path)))
             front.append(after)
-            assert len(seen) < most, "more states than were told"
+            assert len(seen) < most, "more states than allowed"
     return len(seen)
 
 
 def play(path):
-    """Go the way that the first fields of steps tell; gives the last state, or the step that there is not."""
+    """Follow steps given by their first fields; return the last state, or the step that is not possible."""
     machines = Machines()
     lives = tuple(machines.take(machines.new(name, 1), ("first",))[0] for name in NAMES)
     state = lives, ((), ()), (False, False), frozenset(), ("w", "w"), (WX, WA)
@@ -281,7 +281,7 @@
 
 
 def mutate(monkeypatch, old, new):
-    """Put the machine in place whose source has `new` for `old`."""
+    """Replace the module's code by a mutant whose source has `new` for `old`."""
     source = inspect.getsource(covers)
     assert source.count(old) == 1, old
     made = types.ModuleType("mutant")
@@ -299,7 +299,7 @@
 
 
 def starts(asked):
-    """The witness dies and starts, and hears from one other."""
+    """Return the steps in which w dies, restarts and gets a reply from one peer."""
     return [
         ("die", "w"),
         ("begin", "w"),
@@ -373,7 +373,7 @@
     assert walk(("w",), (WX,)) > 10_000
 
 
-if __name__ == "__main__":  # two deaths, of one gateway or of two
+if __name__ == "__main__":  # two deaths, of one gateway or of two gateways
     covers.ASK_AGAIN = 1
     for deaths in (("w", "w"), ("w", "a")):
         print(deaths, walk(deaths, (WX,)), "states", flush=True)
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -1,4 +1,4 @@
-"""Power cuts under the store's engine: what was told as durable is there, and nothing is half there."""
+"""Power cuts under the store's engine: confirmed records survive, and no commit survives in part."""
 
 import random
 import sqlite3
@@ -18,12 +18,12 @@
 
 
 def state(engine):
-    """Give the records, without the word that the log broke off: a torn commit that was told to nobody."""
+    """Return the records without the note that the log was torn: that commit was never confirmed."""
     return {(row.kind, row.key): row.value for row in engine.rows() if row.kind != "log"}
 
 
 def written(folder, seed, full=0.0, flushes=True, commits=24):
-    """Write, compact and write on; give the disk, and of each commit its places and all rows then."""
+    """Write, compact and write again; return the disk, each commit's first and last step, and its rows."""
     draw = random.Random(seed)
     disk = CrashDisk(f"crash{next(NAMES)}", seed, flushes=flushes)
     engine = Engine(str(folder / "gw0.store"), "gw0", connect=disk.connect)
@@ -54,7 +54,7 @@
 
 
 def crashes(folder, seed, times, full=0.0, flushes=True):
-    """Cut the power after each step, `times` draws of what stays; give how many were checked."""
+    """Cut the power after each step with `times` random outcomes; return how many were checked."""
     (folder / "first").mkdir()
     (folder / "then").mkdir()
     disk, begun, told, history = written(folder / "first", seed, full, flushes)
@@ -67,18 +67,18 @@
             with closing(Engine(str(folder / "then" / "gw0.store"), "gw0")) as engine:
                 found = state(engine)
                 assert found in may_be or full, (after, sorted(found))
-                if full:  # a commit that found no room may be there or not, and so may each one after it
+                if full:  # a commit that hit the full disk may be present or not, and so may later ones
                     for key, value in history[last].items():
                         after_it = [rows.get(key) for rows in history[last:]]
                         assert found.get(key) in {value, *after_it, *retold(history, last, key)}, key
-                assert None not in found.values()  # each checksum is good
+                assert None not in found.values()  # all checksums are valid
                 assert not [each for each in engine.verify() if not each.startswith("the log has")]
                 checked += 1
     return checked
 
 
 def retold(history, last, key):
-    """Give what a commit that was not told as good may have written to a key."""
+    """Return what a commit that was not confirmed may have written to a key."""
     number = int(key[1][1:]) if key[1] != "same" else 0
     return {None, *(b"%d" % n * 300 for n in range(len(history))), *(b"%d" % n for n in range(number + 99))}
 
@@ -97,7 +97,7 @@
         crashes(tmp_path, "d", 4, flushes=False)
 
 
-if __name__ == "__main__":  # many seeds, by hand
+if __name__ == "__main__":  # many seeds, run manually
     total = 0
     for seed in range(int(sys.argv[1])):
         for full in (0.0, 0.05):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The list of servers: merging, files caught at any moment, and what reaches the hosts."""
+"""The list of servers: merged sources, files read at any moment, and the hosts that get set-ups."""
 
 import json
 import os
@@ -56,7 +56,7 @@
     merger.offer(T0 + S, "registry", told)
     assert ready(merger) == [0, 1, 4, 5, 6, 7, 8, 9]
     merger.offer(T0 + 2 * S, "file", (*version(0, 1, 2, 3, 4, 5, 6, 7, 8), box(9, DRAINING)))
-    assert 9 not in ready(merger)  # one source's drain stands against the other's ready
+    assert 9 not in ready(merger)  # one source's drain overrides the other's ready
 
 
 def test_hosts_that_refuse_connections_or_a_second_source_confirm_a_large_loss():
@@ -70,7 +70,7 @@
     two = Merger(("registry", "file"))
     two.offer(T0, "registry", version(*range(6)))
     two.offer(T0, "file", version(0, 1, 2))
-    two.offer(T0 + S, "registry", version(0, 1, 2))  # the file has never had the others
+    two.offer(T0 + S, "registry", version(0, 1, 2))  # the file never had the others
     assert ready(two) == [0, 1, 2]
 
 
@@ -99,7 +99,7 @@
     merger.offer(T0, "registry", (replace(box(0), started=5),))
     merger.offer(T0, "file", (replace(box(0), started=9, weight=7.0),))
     entry = merger.believed[box(0).server]
-    assert entry.started == 9 and entry.weight == 1.0  # the first source tells the rest
+    assert entry.started == 9 and entry.weight == 1.0  # other attributes come from the first source
 
 
 STEPS = st.lists(
@@ -136,7 +136,7 @@
 
 
 class Watch:
-    """A watched file on a virtual clock and a real folder."""
+    """A watched file in a real folder on a virtual clock."""
 
     def __init__(self, folder):
         self.world = World(1)
@@ -242,7 +242,7 @@
         small.run(1)
 
     ask("a")
-    path.write_text(json.dumps({"servers": row})[:-1])  # half written: names the fourth
+    path.write_text(json.dumps({"servers": row})[:-1])  # half written, naming the fourth host
     small.run(2)
     ask("b")
     assert {each["host"] for each in small.seen("set_up_came")} == {f"host{n}:9000" for n in range(3)}
