--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -16,10 +16,10 @@
 from mintmast.http.client import HttpClient
 from mintmast.lab import drills
 
-# The model: gateways A and B claim one key at three witnesses, which vote by `vote_on_claim`; one witness is A
-# itself. A message that was sent stays in flight for ever: it may arrive late, any number of times, or never
-# (with `losses`, else only after a death). One gateway dies at any moment; its witness restarts without memory
-# and learns. The other two witnesses are alike, so states that differ only in their order are one state.
+# The model: gateways A and B claim one key at three witnesses, which vote by `vote_on_claim`; one witness is
+# A itself. A message that was sent stays in flight for ever: it may arrive late, any number of times, or
+# never (with `losses`, else only after a death). One gateway dies at any moment; its witness restarts without
+# memory and learns. The other two witnesses are alike, so states that differ only in their order are one.
 # Claimant: (state, number, ran, is alive). Witness: (record, votes at all, its gateway, its votes as A and B
 # counted them, messages between it and the claimants). Then what died, and the claims pending at that moment.
 NAMES = "AB"
@@ -334,7 +334,7 @@
         name = draw.choice(region.names)
         what = draw.choice(("ask", "ask", "ask", "free", "die", "lose", "wait"))
         part = region.parts[name][0]
-        waits = any(part.pending(each) for each in range(session + 1))  # the session book merges such requests
+        waits = any(part.pending(each) for each in range(session + 1))  # the book joins such requests
         if what == "ask" and not waits:
             session += 1
             part.begin(region.now, session, "key", 0, region.now + SECOND)
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -15,10 +15,10 @@
 from mintmast.decisions.gateways.witness import Record, learn, vote
 
 # The model: one key, witnesses a, w and x, claims p and q. A claim owns the key as soon as votes that may be
-# combined are a majority, which covers every order and loss of votes. Exclusions and learn requests may arrive
-# late, in any order, twice (exclusions) or never; a gateway may hold another for unreachable rightly or
-# wrongly. A gateway dies only while the others vote on the key; its pending claims end before it learns. Each
-# gateway runs the real code; its reaction to an event in a given state is computed once and cached.
+# combined are a majority, which covers every order and loss of votes. Exclusions and learn requests may
+# arrive late, in any order, twice (exclusions) or never; a gateway may hold another for unreachable rightly
+# or wrongly. A gateway dies only while the others vote on the key; its pending claims end before it learns.
+# Each gateway runs the real code; its reaction to an event in a given state is computed once and cached.
 NAMES = ("a", "w", "x")
 # who may hold whom for unreachable, changing once to and fro
 WX, WA = ("w", "x"), ("w", "a")
