--- a/mintmast/core/ports.py
+++ b/mintmast/core/ports.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from mintmast.decisions import messages as msg
-from mintmast.decisions.gateways import talk
-from mintmast.decisions.gateways.records import Write
-from mintmast.decisions.messages import Told
-from mintmast.decisions.outcomes import Evidence, Word
+from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.records import WriteRecords
+from mintmast.decisions.messages import HostStatus
+from mintmast.decisions.outcomes import Evidence, HostReport
 from mintmast.interface import ListEntry, ListKind, NoteKind
 
 
-class Order(msgspec.Struct, frozen=True, gc=False):
+class SetUpRequest(msgspec.Struct, frozen=True, gc=False):
     """A set-up as a host is asked for it; rates in kB a second, times in microseconds."""
 
     session: str
@@ -23,14 +23,14 @@
     server: bytes
     title: str
     rung: int
-    kb: float
+    rate_kb: float
     best_rung: int
     epoch: int
     lease: int
     paid: bool
     key: str
     until: int  # time of the loop's clock at which the attempt is given up
-    number: int  # of the call, among those that give leases
+    call_number: int  # of the call, among those that give leases
     moved_from: str  # the session that it takes the place of, "" for none
     clock: int  # reading of the host's clock that the lease counts from, -1 for none
 
@@ -38,22 +38,24 @@
 class HostEvents(Protocol):
     """What a host tells by itself, as the core hears it."""
 
-    def hello(self, server: bytes, process: str, age: int | None, drains: bool, clock: int) -> None:
+    def host_connected(
+        self, server: bytes, process: str, uptime: int | None, is_draining: bool, clock: int
+    ) -> None:
         """Take the first word on a new line; `age` and `clock` in microseconds, `clock` -1 for none."""
 
-    def tick(self, server: bytes, clock: int) -> None:
+    def host_heartbeat(self, server: bytes, clock: int) -> None:
         """Take a sign of life with a reading of the host's clock."""
 
-    def lost(self, server: bytes, refused: bool) -> None:
+    def host_disconnected(self, server: bytes, refused: bool) -> None:
         """Take the end of a line, or a try in vain."""
 
-    def drain(self, server: bytes, drains: bool) -> None:
+    def host_drain_changed(self, server: bytes, is_draining: bool) -> None:
         """Take a change of the drain state."""
 
-    def note(self, server: bytes, kind: NoteKind, value: float) -> None:
+    def host_measured(self, server: bytes, kind: NoteKind, value: float) -> None:
         """Take a share delivered or a use."""
 
-    def ended(self, server: bytes, session: str) -> None:
+    def session_ended(self, server: bytes, session: str) -> None:
         """Take the end of a session."""
 
 
@@ -63,19 +65,21 @@
     def attach(self, events: HostEvents) -> None:
         """Tell who hears what hosts say."""
 
-    def set_up(self, order: Order, done: Callable[[Evidence, Told], None]) -> None:
+    def set_up(self, request: SetUpRequest, done: Callable[[Evidence, HostStatus], None]) -> None:
         """Ask a host for a session; by `order.until` at the latest the evidence is told."""
 
-    def call_off(self, session: str, attempt: int) -> None:
+    def cancel_set_up(self, session: str, attempt: int) -> None:
         """Break off a set-up; its evidence is told as called off."""
 
-    def rung(self, server: bytes, session: str, epoch: int, rung: int, kb: float) -> None:
+    def set_rung(self, server: bytes, session: str, epoch: int, rung: int, rate_kb: float) -> None:
         """Tell a host the rung of a session."""
 
-    def end(self, server: bytes, session: str, epoch: int, until: int, done: Callable[[bool], None]) -> None:
+    def end_session(
+        self, server: bytes, session: str, epoch: int, until: int, done: Callable[[bool], None]
+    ) -> None:
         """End a session's epochs up to this one; `done` hears whether that is sure."""
 
-    def renew(
+    def renew_leases(
         self,
         server: bytes,
         sessions: tuple[tuple[str, int, int, float], ...],
@@ -83,7 +87,7 @@
         until: int,
         number: int,
         clock: int,
-        done: Callable[[bool, bool, tuple[str, ...], Told], None],
+        done: Callable[[bool, bool, tuple[str, ...], HostStatus], None],
     ) -> None:
         """Renew leases of (session, epoch, rung, kB a second).
 
@@ -91,7 +95,7 @@
         load.
         """
 
-    def settle(
+    def reconcile_sessions(
         self,
         server: bytes,
         sessions: dict[str, int],
@@ -99,7 +103,7 @@
         until: int,
         number: int,
         clock: int,
-        done: Callable[[int, tuple[tuple[str, Word, int], ...], Told], None],
+        done: Callable[[int, tuple[tuple[str, HostReport, int], ...], HostStatus], None],
     ) -> None:
         """Ask after sessions (by name, with the epoch) of earlier lives, and take over those which play.
 
@@ -117,26 +121,33 @@
 class PeerEvents(Protocol):
     """What the core hears from other gateways."""
 
-    def called(self, call: talk.PeerCall, answer: Callable[[talk.PeerReply], None]) -> None:
+    def handle_call(
+        self, call: claim_messages.PeerCall, answer: Callable[[claim_messages.PeerReply], None]
+    ) -> None:
         """Answer another gateway's call: `answer` is called once, maybe before this returns."""
 
-    def heard(self, event: talk.Voted | talk.Learnt | talk.AsideTold) -> None:
+    def handle_reply(
+        self,
+        event: claim_messages.VoteReceived
+        | claim_messages.LearnReply
+        | claim_messages.ExclusionsAcknowledged,
+    ) -> None:
         """Take the end of a call."""
 
 
 class PeerPort(Protocol):
     """What speaks to other gateways. Each call's end is told once, never before the call returns."""
 
-    def claim(self, call: talk.SendClaim) -> None:
+    def send_claim(self, call: claim_messages.SendClaim) -> None:
         """Claim a key at a witness."""
 
-    def release(self, call: talk.SendRelease) -> None:
+    def send_release(self, call: claim_messages.SendRelease) -> None:
         """Give a claim back; nobody hears of its end."""
 
-    def learn(self, call: talk.SendLearn) -> None:
+    def send_learn_request(self, call: claim_messages.SendLearnRequest) -> None:
         """Ask what another gateway knows."""
 
-    def aside(self, call: talk.SendAside) -> None:
+    def send_exclusions(self, call: claim_messages.SendExclusions) -> None:
         """Tell another gateway who is held aside."""
 
 
@@ -146,7 +157,7 @@
     failing: str  # why writes fail, "" where they do not
     size: tuple[int, int]  # bytes of the file, and those of them that hold nothing
 
-    def write(self, command: Write) -> None:
+    def write(self, command: WriteRecords) -> None:
         """Write these; nothing waits for it here."""
 
     def close(self) -> None:
@@ -156,15 +167,15 @@
 class ListSource(Protocol):
     """Where the list of servers comes from."""
 
-    def start(self, tell: Callable[[ListKind, int, tuple[ListEntry, ...]], None]) -> None:
+    def start(self, on_update: Callable[[ListKind, int, tuple[ListEntry, ...]], None]) -> None:
         """Begin; `tell` hears each version, whole or as changes."""
 
     def refresh(self) -> None:
         """Tell the whole list once more."""
 
-    def refuses(self, server: bytes, refuses: bool) -> None:
+    def record_refusal(self, server: bytes, is_refusing: bool) -> None:
         """Take a host's own evidence: it takes no connections, or does again."""
 
 
-AnswerTo = Callable[[msg.Give], None]
-SteerTo = Callable[[msg.Steer], None]
+AnswerCallback = Callable[[msg.AnswerRequest], None]
+PollCallback = Callable[[msg.AnswerPoll], None]
--- a/mintmast/decisions/gateways/talk.py
+++ b/mintmast/decisions/gateways/claim_messages.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.member_status import Liveness
 
-Known = tuple[str, str, int, int]
+KnownClaim = tuple[str, str, int, int]
 
 
 class Vote(Enum):
@@ -34,19 +34,19 @@
     `version`, whose votes the caller's must not be combined with on keys that both witness.
     """
 
-    call: int
+    call_id: int
     owner: str
     digest: str = ""
     number: int = 0
-    keep: int = 0
+    retention: int = 0
     release: bool = False
-    learn: str | None = None
-    aside: tuple[str, ...] | None = None
+    learn_after: str | None = None
+    excluded: tuple[str, ...] | None = None
     version: int = 0
-    to: int = 0
+    to_generation: int = 0
 
 
-class Voted(msgspec.Struct, frozen=True, gc=False):
+class VoteReceived(msgspec.Struct, frozen=True, gc=False):
     """From the peer transport: a witness's vote on the claim `number`, or that none came in time.
 
     `excluded` names witnesses whose votes must not be combined with this one; `generation` is the witness's,
@@ -56,11 +56,11 @@
     peer: str
     number: int
     vote: Vote
-    without: tuple[str, ...] = ()
-    start: int = 0
+    excluded: tuple[str, ...] = ()
+    generation: int = 0
 
 
-class Learnt(msgspec.Struct, frozen=True, gc=False):
+class LearnReply(msgspec.Struct, frozen=True, gc=False):
     """From the peer transport: the reply to learn request `number`.
 
     `more` is set if further records follow the last one; `answered` is false if no reply came. `generation`
@@ -70,35 +70,35 @@
     """
 
     peer: str
-    records: tuple[Known, ...] = ()
+    records: tuple[KnownClaim, ...] = ()
     more: bool = False
-    whole: bool = True
+    answered: bool = True
     number: int = 0
-    start: int = 0
-    unready: tuple[str, ...] = ()
-    covered: tuple[str, ...] = ()
-    before: int = 0
+    generation: int = 0
+    not_voting_with: tuple[str, ...] = ()
+    vouched_for: tuple[str, ...] = ()
+    previous_generation: int = 0
 
 
-class AsideTold(msgspec.Struct, frozen=True, gc=False):
+class ExclusionsAcknowledged(msgspec.Struct, frozen=True, gc=False):
     """From the peer transport: a gateway has recorded exclusions up to `version`; -1 if no reply came."""
 
     peer: str
     version: int = -1
 
 
-class PeerStands(msgspec.Struct, frozen=True, gc=False):
+class PeerStatusChanged(msgspec.Struct, frozen=True, gc=False):
     """From membership: another gateway's liveness and its known generation, 0 if none."""
 
     peer: str
-    proof: Proof
-    start: int
+    liveness: Liveness
+    generation: int
 
 
-class Condemned(msgspec.Struct, frozen=True, gc=False):
+class ProcessDisqualified(msgspec.Struct, frozen=True, gc=False):
     """From membership: this process must no longer act under its name."""
 
-    why: str
+    reason: str
 
 
 # Commands
@@ -110,8 +110,8 @@
     peer: str
     digest: str
     number: int
-    keep: int
-    until: int
+    retention: int
+    deadline: int
 
 
 class SendRelease(msgspec.Struct, frozen=True, gc=False):
@@ -123,30 +123,30 @@
     peer: str
     digest: str
     number: int
-    until: int
+    deadline: int
     owner: str = ""
 
 
-class SendLearn(msgspec.Struct, frozen=True, gc=False):
+class SendLearnRequest(msgspec.Struct, frozen=True, gc=False):
     """To the peer transport: ask for the claims known after a digest; `LearnReply` by `deadline` (µs)."""
 
     peer: str
     after: str
     number: int
-    until: int
+    deadline: int
 
 
-class SendAside(msgspec.Struct, frozen=True, gc=False):
+class SendExclusions(msgspec.Struct, frozen=True, gc=False):
     """To the peer transport: announce exclusions to the process of generation `to_generation`.
 
     `ExclusionsAcknowledged` follows by `deadline` (µs).
     """
 
     peer: str
-    to: int
-    names: tuple[str, ...]
+    to_generation: int
+    excluded: tuple[str, ...]
     version: int
-    until: int
+    deadline: int
 
 
 class PeerReply(msgspec.Struct, frozen=True, gc=False):
@@ -156,13 +156,13 @@
     caller gets an error and counts it as no reply.
     """
 
-    call: int
+    call_id: int
     vote: Vote = Vote.NONE
-    records: tuple[Known, ...] = ()
+    records: tuple[KnownClaim, ...] = ()
     more: bool = False
-    without: tuple[str, ...] = ()
-    unready: tuple[str, ...] = ()
-    covered: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
+    not_voting_with: tuple[str, ...] = ()
+    vouched_for: tuple[str, ...] = ()
     version: int = -1
-    before: int = 0
-    good: bool = True
+    previous_generation: int = 0
+    answered: bool = True
--- a/mintmast/decisions/hosts/drains.py
+++ b/mintmast/decisions/hosts/drains.py
@@ -6,22 +6,24 @@
 
 from __future__ import annotations
 
-from mintmast.decisions.messages import Drain
+from mintmast.decisions.messages import DrainOrdered
 
 
-class Drains:
+class DrainOrders:
     """Drain orders of one gateway."""
 
     def __init__(self) -> None:
-        self.orders: dict[bytes, int | None] = {}  # by host: when it must be empty (µs), None if unspecified
+        self.deadlines: dict[
+            bytes, int | None
+        ] = {}  # by host: when it must be empty (µs), None if unspecified
 
-    def take(self, now: int, event: Drain) -> None:
+    def handle(self, now: int, event: DrainOrdered) -> None:
         """Record an order or its revocation."""
-        if event.on:
-            self.orders[event.server] = None if event.within is None else now + event.within
+        if event.drain:
+            self.deadlines[event.server] = None if event.within is None else now + event.within
         else:
-            self.orders.pop(event.server, None)
+            self.deadlines.pop(event.server, None)
 
-    def ends(self, server: bytes) -> int | None:
+    def deadline_of(self, server: bytes) -> int | None:
         """Return when an ordered drain must be finished (µs), None if unspecified or not ordered."""
-        return self.orders.get(server)
+        return self.deadlines.get(server)
--- a/mintmast/decisions/hosts/hostwatch.py
+++ b/mintmast/decisions/hosts/host_state.py
@@ -21,32 +21,32 @@
 SECOND = 1_000_000
 # µs; initial and maximum backoff before reconnecting: a restart takes some hundred ms, and a host that stays
 # down costs one attempt in two seconds. Jitter of up to a half keeps gateways from retrying in step
-RETRY_FIRST, RETRY_MOST = SECOND // 10, 2 * SECOND
+RETRY_INITIAL_US, RETRY_MAX_US = SECOND // 10, 2 * SECOND
 
 
 @dataclass(slots=True)
-class Watched:
+class HostState:
     """State of one host."""
 
     listed: ListEntry
     process: str = ""  # identifies the host's process, as it reports
-    born: int = 0  # start of the process (µs), 0 if long ago or not reported
-    drains: bool = False  # as the host reports
-    ordered: bool = False  # drained by an operator's order at this gateway
-    lost_at: int = 0  # µs; when the first reconnect was due, 0 while connected
-    refuses: bool = False  # at the last attempt
-    tries: int = 0
-    told: ListEntry | None = None  # the entry last sent to the module
+    started_at: int = 0  # start of the process (µs), 0 if long ago or not reported
+    is_draining: bool = False  # as the host reports
+    drain_ordered: bool = False  # drained by an operator's order at this gateway
+    first_retry_at: int = 0  # µs; when the first reconnect was due, 0 while connected
+    refuses_connections: bool = False  # at the last attempt
+    failed_attempts: int = 0
+    reported_entry: ListEntry | None = None  # the entry last sent to the module
 
 
-class HostWatch:
+class HostStates:
     """States of all hosts; methods return the list entries that changed."""
 
     def __init__(self) -> None:
-        self.hosts: dict[bytes, Watched] = {}
-        self.ordered: set[bytes] = set()  # hosts to be drained by an operator's order, listed or not
+        self.hosts: dict[bytes, HostState] = {}
+        self.drain_orders: set[bytes] = set()  # hosts to be drained by an operator's order, listed or not
 
-    def list_entries(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
+    def handle_list(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
         """Apply entries of the list, all of them if `whole`, else the changed ones."""
         named = {entry.server for entry in entries}
         if whole:
@@ -56,12 +56,12 @@
         for entry in entries:
             host = self.hosts.get(entry.server)
             if host is None:
-                self.hosts[entry.server] = Watched(entry, ordered=entry.server in self.ordered)
+                self.hosts[entry.server] = HostState(entry, drain_ordered=entry.server in self.drain_orders)
             else:
                 host.listed = entry
-        return self._changed(self.hosts if whole else named)
+        return self._changed_entries(self.hosts if whole else named)
 
-    def hello(
+    def handle_hello(
         self, now: int, server: bytes, process: str, age: int | None, drains: bool
     ) -> tuple[list[ListEntry], bool]:
         """Apply the first report on a new connection; also return whether the host's process changed."""
@@ -69,71 +69,77 @@
         if host is None:
             return [], False
         other = bool(host.process) and process != host.process
-        host.tries, host.process, host.drains = 0, process, drains
-        if other or not host.born:
-            host.born = 0 if age is None else max(1, now - max(0, age))
-        host.lost_at = 0
-        host.refuses = False
-        return self._changed([server]), other
-
-    def lost(self, now: int, server: bytes, draw: float, refused: bool) -> tuple[list[ListEntry], int]:
+        host.failed_attempts, host.process, host.is_draining = 0, process, drains
+        if other or not host.started_at:
+            host.started_at = 0 if age is None else max(1, now - max(0, age))
+        host.first_retry_at = 0
+        host.refuses_connections = False
+        return self._changed_entries([server]), other
+
+    def handle_connection_lost(
+        self, now: int, server: bytes, draw: float, refused: bool
+    ) -> tuple[list[ListEntry], int]:
         """Record a lost connection or a failed attempt; also return when to retry (µs).
 
         `draw` is a random number from 0 to 1 for the jitter.
         """
         host = self.hosts.get(server)
         if host is None:
-            return [], now + RETRY_MOST
-        wait = min(RETRY_MOST, RETRY_FIRST << min(host.tries, 10))
+            return [], now + RETRY_MAX_US
+        wait = min(RETRY_MAX_US, RETRY_INITIAL_US << min(host.failed_attempts, 10))
         wait = int(wait * (0.5 + draw / 2))
-        host.lost_at = host.lost_at or now + wait
-        host.refuses = refused
-        host.tries += 1
-        return self._changed([server]), now + wait
+        host.first_retry_at = host.first_retry_at or now + wait
+        host.refuses_connections = refused
+        host.failed_attempts += 1
+        return self._changed_entries([server]), now + wait
 
-    def drain(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain(self, server: bytes, drains: bool) -> list[ListEntry]:
         """Apply a host's report that it drains or no longer drains."""
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.drains = drains
-        return self._changed([server])
+        host.is_draining = drains
+        return self._changed_entries([server])
 
-    def order(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain_order(self, server: bytes, drains: bool) -> list[ListEntry]:
         """Apply an operator's order to drain a host, or its revocation."""
-        (self.ordered.add if drains else self.ordered.discard)(server)
+        (self.drain_orders.add if drains else self.drain_orders.discard)(server)
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.ordered = drains
-        return self._changed([server])
+        host.drain_ordered = drains
+        return self._changed_entries([server])
 
-    def entry(self, host: Watched) -> ListEntry:
+    def effective_entry(self, host: HostState) -> ListEntry:
         """Return a host's list entry, corrected by its own reports and its connection."""
         entry = host.listed
-        if host.refuses:
+        if host.refuses_connections:
             entry = replace(entry, state=ServerState.GONE)
-        elif (host.drains or host.ordered) and entry.state is ServerState.READY:
+        elif (host.is_draining or host.drain_ordered) and entry.state is ServerState.READY:
             entry = replace(entry, state=ServerState.DRAINING)
-        started = max(entry.started, host.born)
-        if host.process and host.lost_at:
-            started = max(started, host.lost_at)
+        started = max(entry.started, host.started_at)
+        if host.process and host.first_retry_at:
+            started = max(started, host.first_retry_at)
         return replace(entry, started=started) if started != entry.started else entry
 
-    def to_leave(self, server: bytes) -> bool:
+    def should_vacate(self, server: bytes) -> bool:
         """Return whether a host's sessions should move elsewhere, because it drains or left the list.
 
         A host that refuses connections has nothing left to move.
         """
         host = self.hosts.get(server)
-        return host is not None and not host.refuses and self.entry(host).state is not ServerState.READY
+        return (
+            host is not None
+            and not host.refuses_connections
+            and self.effective_entry(host).state is not ServerState.READY
+        )
 
-    def _changed(self, servers) -> list[ListEntry]:
+    def _changed_entries(self, servers) -> list[ListEntry]:
         changed = []
         for server in servers:
             host = self.hosts[server]
-            entry = self.entry(host)
-            if entry != host.told:
-                host.told = entry
+            entry = self.effective_entry(host)
+            if entry != host.reported_entry:
+                host.reported_entry = entry
                 changed.append(entry)
         return changed
--- a/mintmast/decisions/hosts/registry.py
+++ b/mintmast/decisions/hosts/registry.py
@@ -15,7 +15,7 @@
 SECOND = 1_000_000
 # OUT_OF_SERVICE is what operators set to empty a host. STARTING accepts no work yet. UNKNOWN gets no new
 # sessions, but sessions that play go on
-STATES = {
+STATE_BY_STATUS = {
     "UP": ServerState.READY,
     "OUT_OF_SERVICE": ServerState.DRAINING,
     "UNKNOWN": ServerState.DRAINING,
@@ -23,11 +23,11 @@
     "DOWN": ServerState.GONE,
 }
 # polls per full read in place of a delta: a hash of counts misses two errors that cancel out
-FULL_EVERY = 30
+POLLS_PER_FULL_READ = 30
 # jitter as a share of the poll interval, so that hundreds of gateways do not poll at the same moment
-SPREAD = 0.2
+POLL_JITTER = 0.2
 # consecutive failures of one address before the next one is asked
-PATIENCE = 1
+FAILURES_BEFORE_FAILOVER = 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,13 +45,13 @@
     weight: float = 1.0
 
 
-def hashcode(instances: Iterable[Instance]) -> str:
+def compute_hashcode(instances: Iterable[Instance]) -> str:
     """Return `apps__hashcode`: each status and its count, ordered by status name."""
     counts = Counter(instance.status for instance in instances)
     return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
 
-def entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
+def build_list_entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
     """Return the list entries of an app; of two instances on one address the later started one counts."""
     best: dict[str, Instance] = {}
     for each in instances:
@@ -63,7 +63,7 @@
     return tuple(
         ListEntry(
             address.encode(),
-            STATES.get(each.status, ServerState.DRAINING),
+            STATE_BY_STATUS.get(each.status, ServerState.DRAINING),
             each.started,
             each.cell,
             each.zone,
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class RegistryReader:
     """Chooses requests and applies replies. `addresses` are tried in turn from the first.
 
     `poll_interval` is in µs. A lagging replica, or a delta on a wrong base, would bring back servers that are
@@ -83,48 +83,48 @@
     """
 
     addresses: tuple[str, ...]
-    every: int
-    known: dict[tuple[str, str], Instance] = field(default_factory=dict)
-    at: int = 0
-    whole: bool = False  # a full read succeeded, so that a delta has a base
+    poll_interval: int
+    instances: dict[tuple[str, str], Instance] = field(default_factory=dict)
+    address_index: int = 0
+    has_base: bool = False  # a full read succeeded, so that a delta has a base
     polls: int = 0
-    fails: int = 0
+    failures: int = 0
 
-    def ask(self) -> tuple[str, bool]:
+    def next_request(self) -> tuple[str, bool]:
         """Return the address to ask and whether to request a delta."""
-        delta = self.whole and self.polls % FULL_EVERY != 0
+        delta = self.has_base and self.polls % POLLS_PER_FULL_READ != 0
         self.polls += 1
-        return self.addresses[self.at % len(self.addresses)], delta
+        return self.addresses[self.address_index % len(self.addresses)], delta
 
-    def next(self, now: int, draw: float) -> int:
+    def next_poll_at(self, now: int, draw: float) -> int:
         """Return when to poll next (µs); `draw`, from 0 to 1, shortens the interval by the jitter."""
-        return now + int(self.every * (1 - SPREAD * draw))
+        return now + int(self.poll_interval * (1 - POLL_JITTER * draw))
 
-    def full(self, instances: Iterable[Instance]) -> bool:
+    def apply_full(self, instances: Iterable[Instance]) -> bool:
         """Apply a full read; return whether anything changed."""
         new = {(each.app, each.id): each for each in instances}
-        changed, self.known = new != self.known or not self.whole, new
-        self.whole, self.fails = True, 0
+        changed, self.instances = new != self.instances or not self.has_base, new
+        self.has_base, self.failures = True, 0
         return changed
 
-    def delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
+    def apply_delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
         """Apply changes (action, instance); return whether any was made, None if a full read is needed."""
-        new = dict(self.known)
+        new = dict(self.instances)
         for action, each in changes:
             if action == "DELETED":
                 new.pop((each.app, each.id), None)
             else:
                 new[each.app, each.id] = each
-        self.fails = 0
-        if told != hashcode(new.values()):
-            self.whole = False
+        self.failures = 0
+        if told != compute_hashcode(new.values()):
+            self.has_base = False
             return None
-        changed, self.known = new != self.known, new
+        changed, self.instances = new != self.instances, new
         return changed
 
-    def failed(self) -> None:
+    def handle_failure(self) -> None:
         """Record a failed poll; the next address is read in full, because replicas differ."""
-        self.fails += 1
-        if self.fails % PATIENCE == 0 and len(self.addresses) > 1:
-            self.at += 1
-            self.whole = False
+        self.failures += 1
+        if self.failures % FAILURES_BEFORE_FAILOVER == 0 and len(self.addresses) > 1:
+            self.address_index += 1
+            self.has_base = False
--- a/mintmast/decisions/messages.py
+++ b/mintmast/decisions/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from mintmast import interface as api
-from mintmast.decisions.outcomes import Evidence, Word
+from mintmast.decisions.outcomes import Evidence, HostReport
 from mintmast.interface import ListKind
 
 
@@ -23,58 +23,58 @@
     FAILED = "failed"
 
 
-class Told(msgspec.Struct, frozen=True, gc=False):
+class HostStatus(msgspec.Struct, frozen=True, gc=False):
     """What a host's word carries beside its matter: its load, a reading of its clock (µs, -1 for none)."""
 
     load: tuple[float, ...] = ()
     clock: int = -1
 
 
-NOTHING = Told()
+NO_STATUS = HostStatus()
 
 
 # In: from fronts
 
 
-class Ask(msgspec.Struct, frozen=True, gc=False):
+class ViewerRequest(msgspec.Struct, frozen=True, gc=False):
     """A front: a viewer asks; he waits `budget` µs, and `key` stays with him over his tries ("" for none).
 
     `best_rung` is the highest rung he can use, `length` the clip's length in µs (0 for not known or live).
     """
 
-    ask: int
+    request_id: int
     service: int
     tenant: int
     title: int
     home_cell: int
     copies: int
     best_rung: int
-    budget: int
+    timeout: int
     key: str = ""
     length: int = 0
     moved: bool = False
-    again: bool = False
+    is_retry: bool = False
 
 
-class AskGone(msgspec.Struct, frozen=True, gc=False):
+class RequestCancelled(msgspec.Struct, frozen=True, gc=False):
     """A front: the viewer waits no more."""
 
-    ask: int
+    request_id: int
 
 
 class Poll(msgspec.Struct, frozen=True, gc=False):
     """A front: a player asks where to go on, and waits `budget` µs; it holds `buffer` µs of media ahead."""
 
-    poll: int
+    poll_id: int
     session: int
     buffer: int
-    budget: int
+    timeout: int
 
 
-class PollGone(msgspec.Struct, frozen=True, gc=False):
+class PollCancelled(msgspec.Struct, frozen=True, gc=False):
     """A front: the player waits no more for the answer to its poll."""
 
-    poll: int
+    poll_id: int
 
 
 # In: from hosts
@@ -86,18 +86,18 @@
     session: int
     attempt: int
     evidence: Evidence
-    told: Told = NOTHING
+    status: HostStatus = NO_STATUS
 
 
-class EndEnded(msgspec.Struct, frozen=True, gc=False):
+class TerminationAttemptEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter: a try to end a session is over; `sure` says that the host holds it no more."""
 
     session: int
     server: bytes
-    sure: bool
+    is_confirmed: bool
 
 
-class Settled(msgspec.Struct, frozen=True, gc=False):
+class ReconciliationEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter: a question after sessions of earlier lives, sent at `sent` (µs), is over.
 
     `words` are (session, the host's word, its rung), nothing where no answer came; `since` is from when on
@@ -105,27 +105,27 @@
     """
 
     server: bytes
-    sent: int
-    number: int
-    since: int = -1
-    words: tuple[tuple[int, Word, int], ...] = ()
-    told: Told = NOTHING
+    sent_at: int
+    call_number: int
+    memory_since: int = -1
+    reports: tuple[tuple[int, HostReport, int], ...] = ()
+    status: HostStatus = NO_STATUS
 
 
-class Renewed(msgspec.Struct, frozen=True, gc=False):
+class RenewalEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter: a renewal's call, sent at `sent` (µs), is over; `unknown` the host does not hold.
 
     `arrived` is false where it provably never came to the host.
     """
 
     server: bytes
-    sent: int
-    number: int
+    sent_at: int
+    call_number: int
     answered: bool
     arrived: bool
     sessions: tuple[int, ...]
-    unknown: tuple[int, ...] = ()
-    told: Told = NOTHING
+    unknown_sessions: tuple[int, ...] = ()
+    status: HostStatus = NO_STATUS
 
 
 class SessionEnded(msgspec.Struct, frozen=True, gc=False):
@@ -135,39 +135,39 @@
     session: int
 
 
-class HostHello(msgspec.Struct, frozen=True, gc=False):
+class HostConnected(msgspec.Struct, frozen=True, gc=False):
     """A host: the line stands; `age` is how long its process has run in µs, None for not told."""
 
     server: bytes
     process: str
-    age: int | None
-    drains: bool
+    uptime: int | None
+    is_draining: bool
     clock: int = -1
 
 
-class HostTick(msgspec.Struct, frozen=True, gc=False):
+class HostHeartbeat(msgspec.Struct, frozen=True, gc=False):
     """A host: a sign of life, with a reading of its clock in µs."""
 
     server: bytes
     clock: int
 
 
-class HostLost(msgspec.Struct, frozen=True, gc=False):
+class HostDisconnected(msgspec.Struct, frozen=True, gc=False):
     """A host adapter: the line broke or was not to be had; `draw` is a random number from 0 to 1."""
 
     server: bytes
-    draw: float
+    random_fraction: float
     refused: bool = False
 
 
-class HostDrain(msgspec.Struct, frozen=True, gc=False):
+class HostDrainChanged(msgspec.Struct, frozen=True, gc=False):
     """A host: it drains, or drains no more."""
 
     server: bytes
-    drains: bool
+    is_draining: bool
 
 
-class HostNote(msgspec.Struct, frozen=True, gc=False):
+class HostMeasurement(msgspec.Struct, frozen=True, gc=False):
     """A host: a share delivered, or the use of its link or uplink (asked over given)."""
 
     server: bytes
@@ -181,15 +181,15 @@
 # In: from operators, sources and the loop
 
 
-class Drain(msgspec.Struct, frozen=True, gc=False):
+class DrainOrdered(msgspec.Struct, frozen=True, gc=False):
     """An operator: drain a host, or take that back; `within` µs it is to be empty, None for not said."""
 
     server: bytes
-    on: bool
+    drain: bool
     within: int | None = None
 
 
-class ListNews(msgspec.Struct, frozen=True, gc=False):
+class ServerListUpdate(msgspec.Struct, frozen=True, gc=False):
     """A source of the list: news, whole or as changes."""
 
     kind: ListKind
@@ -197,7 +197,7 @@
     entries: tuple[api.ListEntry, ...] = ()
 
 
-class Due(msgspec.Struct, frozen=True, gc=False):
+class TimerFired(msgspec.Struct, frozen=True, gc=False):
     """The loop: a `Wake` has come."""
 
     token: tuple
@@ -206,27 +206,27 @@
 # Out: to fronts
 
 
-class Give(msgspec.Struct, frozen=True, gc=False):
+class AnswerRequest(msgspec.Struct, frozen=True, gc=False):
     """To a front: answer an ask. `advice` is in µs; `reason` a short word for logs and problem details.
 
     With `elsewhere` nothing was sent for this ask, and another gateway may be able to tell who has its key.
     """
 
-    ask: int
+    request_id: int
     verdict: Verdict
     session: int = 0
     server: bytes = b""
     rung: int = 0
     epoch: int = 0
-    advice: int = 0
+    retry_after: int = 0
     reason: str = ""
-    elsewhere: bool = False
+    try_elsewhere: bool = False
 
 
-class Steer(msgspec.Struct, frozen=True, gc=False):
+class AnswerPoll(msgspec.Struct, frozen=True, gc=False):
     """To a front: answer a poll: play on at this host, or (with `over`) nowhere."""
 
-    poll: int
+    poll_id: int
     session: int = 0
     server: bytes = b""
     rung: int = 0
@@ -235,7 +235,7 @@
     service: int = 0
     best_rung: int = 0
     moved: bool = False
-    over: bool = False
+    is_closed: bool = False
 
 
 # Out: to hosts
@@ -254,13 +254,13 @@
     rung: int
     epoch: int
     until: int
-    ask: Ask
-    number: int
+    request: ViewerRequest
+    call_number: int
     clock: int
     moved_from: int = 0
 
 
-class CallOff(msgspec.Struct, frozen=True, gc=False):
+class CancelSetUp(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: break off a set-up; no `SetUpEnded` need follow."""
 
     session: int
@@ -276,7 +276,7 @@
     epoch: int
 
 
-class SendEnd(msgspec.Struct, frozen=True, gc=False):
+class SendTermination(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: end a session there, all its epochs up to this one, also those still under way.
 
     The try is over by `until` (µs).
@@ -288,18 +288,18 @@
     until: int
 
 
-class SendRenew(msgspec.Struct, frozen=True, gc=False):
+class SendRenewal(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: renew (session, epoch, rung) for `lease` µs; the rung mends a lost change."""
 
     server: bytes
     sessions: tuple[tuple[int, int, int], ...]
     until: int
-    number: int
+    call_number: int
     clock: int
     lease: int
 
 
-class SendSettle(msgspec.Struct, frozen=True, gc=False):
+class SendReconciliation(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: ask what became of sessions (number, epoch) of earlier lives, and take them over.
 
     `Settled` tells the end by `until` (µs). One that plays gets a lease of `lease` µs from `clock` on, as by
@@ -309,18 +309,18 @@
     server: bytes
     sessions: tuple[tuple[int, int], ...]
     until: int
-    number: int
+    call_number: int
     clock: int
     lease: int
 
 
-class Watch(msgspec.Struct, frozen=True, gc=False):
+class WatchHost(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: open the line to a host."""
 
     server: bytes
 
 
-class Unwatch(msgspec.Struct, frozen=True, gc=False):
+class UnwatchHost(msgspec.Struct, frozen=True, gc=False):
     """To a host adapter: close the line to a host that is gone."""
 
     server: bytes
@@ -332,34 +332,34 @@
 # Out: to sources, loop and log
 
 
-class AskList(msgspec.Struct, frozen=True, gc=False):
+class FetchServerList(msgspec.Struct, frozen=True, gc=False):
     """To the sources: tell all of the list, or (with `standing`) its changes."""
 
-    standing: bool = False
+    subscribe: bool = False
 
 
-class Named(msgspec.Struct, frozen=True, gc=False):
+class SessionNamed(msgspec.Struct, frozen=True, gc=False):
     """To the core: this session goes under a name that an earlier life gave it."""
 
     session: int
     name: str
 
 
-class Ordered(msgspec.Struct, frozen=True, gc=False):
+class DrainRecorded(msgspec.Struct, frozen=True, gc=False):
     """To the core: an operator's order (`Drain`) is taken, and durable where there is a store."""
 
     server: bytes
-    good: bool
+    is_durable: bool
 
 
-class Wake(msgspec.Struct, frozen=True, gc=False):
+class ScheduleTimer(msgspec.Struct, frozen=True, gc=False):
     """To the loop: hand in `Due(token)` at `at` (µs)."""
 
     at: int
     token: tuple
 
 
-class Say(msgspec.Struct, frozen=True, gc=False):
+class LogEvent(msgspec.Struct, frozen=True, gc=False):
     """To the log: one line."""
 
     event: str
--- a/mintmast/decisions/outcomes.py
+++ b/mintmast/decisions/outcomes.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class OutcomeRow:
     """How one kind of evidence is told to the module, and why that is true."""
 
     outcome: Outcome | None  # None: it plays
@@ -43,46 +43,56 @@
     reason: str
 
 
-TABLE: dict[Evidence, Row] = {
-    Evidence.STARTED: Row(None, False, "the host runs it"),
-    Evidence.FULL: Row(Outcome.FULL, True, "the host marks the reply: it looked and did not start"),
-    Evidence.MOOT: Row(Outcome.NOT_SENT, True, "the host says that nothing was sent on"),
-    Evidence.FENCED: Row(Outcome.FULL, True, "the host keeps the ended epoch and marks the reply"),
-    Evidence.HOST_ERROR: Row(
+OUTCOME_TABLE: dict[Evidence, OutcomeRow] = {
+    Evidence.STARTED: OutcomeRow(None, False, "the host runs it"),
+    Evidence.FULL: OutcomeRow(Outcome.FULL, True, "the host marks the reply: it looked and did not start"),
+    Evidence.MOOT: OutcomeRow(Outcome.NOT_SENT, True, "the host says that nothing was sent on"),
+    Evidence.FENCED: OutcomeRow(Outcome.FULL, True, "the host keeps the ended epoch and marks the reply"),
+    Evidence.HOST_ERROR: OutcomeRow(
         Outcome.ERROR, False, "a reply without the mark does not tell what ran before it"
     ),
-    Evidence.BAD_REPLY: Row(Outcome.ERROR, False, "what cannot be read proves nothing"),
-    Evidence.REFUSED: Row(Outcome.CONNECT_FAILED, True, "without a connection no byte can have arrived"),
-    Evidence.NOT_CONNECTED: Row(
+    Evidence.BAD_REPLY: OutcomeRow(Outcome.ERROR, False, "what cannot be read proves nothing"),
+    Evidence.REFUSED: OutcomeRow(
+        Outcome.CONNECT_FAILED, True, "without a connection no byte can have arrived"
+    ),
+    Evidence.NOT_CONNECTED: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "no byte is written before the connection stands"
     ),
-    Evidence.CUT_UNSENT: Row(
+    Evidence.CUT_UNSENT: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "the stream counts what the network took: nothing"
     ),
-    Evidence.CUT: Row(Outcome.RESET, False, "what the network took may have arrived and run"),
-    Evidence.CUT_REPLY: Row(Outcome.RESET, False, "a host that replies has acted; how is lost with the rest"),
-    Evidence.SILENT: Row(Outcome.TIMEOUT, False, "it may have run, may run yet, or its answer may be lost"),
-    Evidence.LATE_UNSENT: Row(
+    Evidence.CUT: OutcomeRow(Outcome.RESET, False, "what the network took may have arrived and run"),
+    Evidence.CUT_REPLY: OutcomeRow(
+        Outcome.RESET, False, "a host that replies has acted; how is lost with the rest"
+    ),
+    Evidence.SILENT: OutcomeRow(
+        Outcome.TIMEOUT, False, "it may have run, may run yet, or its answer may be lost"
+    ),
+    Evidence.LATE_UNSENT: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "its time ended with nothing sent; the call is dropped"
     ),
-    Evidence.UNRECORDED: Row(
+    Evidence.UNRECORDED: OutcomeRow(
         Outcome.NOT_SENT, True, "no byte is written before the intent is durable; the host is not at fault"
     ),
-    Evidence.CALLED_OFF: Row(Outcome.CANCELLED, False, "a call-off may come after the start"),
-    Evidence.CALLED_OFF_UNSENT: Row(Outcome.CONNECT_FAILED, True, "nothing was sent, and now never is"),
-    Evidence.WITHDRAWN: Row(Outcome.NOT_SENT, True, "nothing was sent, and its host had no part in it"),
+    Evidence.CALLED_OFF: OutcomeRow(Outcome.CANCELLED, False, "a call-off may come after the start"),
+    Evidence.CALLED_OFF_UNSENT: OutcomeRow(
+        Outcome.CONNECT_FAILED, True, "nothing was sent, and now never is"
+    ),
+    Evidence.WITHDRAWN: OutcomeRow(
+        Outcome.NOT_SENT, True, "nothing was sent, and its host had no part in it"
+    ),
 }
 
 
 def may_have_run(evidence: Evidence) -> bool:
     """Tell whether the host may hold a session for it, so that it must be ended there."""
-    return not TABLE[evidence].never_ran
+    return not OUTCOME_TABLE[evidence].never_ran
 
 
 # What a host tells a gateway's next life of the set-ups that its earlier lives sent
 
 
-class Word(Enum):
+class HostReport(Enum):
     """What a host tells of a session that it is asked for."""
 
     PLAYS = "plays"
@@ -90,7 +100,7 @@
     NOT_HERE = "not here"  # it did not run in this process, and will not any more
 
 
-class Fate(Enum):
+class RecoveryOutcome(Enum):
     """What became of a set-up of an earlier life."""
 
     PLAYS = "plays"
@@ -100,31 +110,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FateRow:
+class RecoveryRow:
     """What a word proves, and why."""
 
-    fate: Fate
+    outcome: RecoveryOutcome
     reason: str
 
 
 # (the host's word; whether its memory begins before the set-up left)
-FATES: dict[tuple[Word, bool], FateRow] = {
-    (Word.PLAYS, True): FateRow(Fate.PLAYS, "the host holds it, for this life from now on"),
-    (Word.PLAYS, False): FateRow(Fate.PLAYS, "what it holds it holds, however long it has run"),
-    (Word.RAN, True): FateRow(Fate.RAN, "the host says so itself"),
-    (Word.RAN, False): FateRow(Fate.RAN, "the host says so itself"),
-    (Word.NOT_HERE, True): FateRow(
-        Fate.NEVER_RAN, "the host remembers all since before it left, and passes over it from now on"
+RECOVERY_TABLE: dict[tuple[HostReport, bool], RecoveryRow] = {
+    (HostReport.PLAYS, True): RecoveryRow(
+        RecoveryOutcome.PLAYS, "the host holds it, for this life from now on"
+    ),
+    (HostReport.PLAYS, False): RecoveryRow(
+        RecoveryOutcome.PLAYS, "what it holds it holds, however long it has run"
+    ),
+    (HostReport.RAN, True): RecoveryRow(RecoveryOutcome.RAN, "the host says so itself"),
+    (HostReport.RAN, False): RecoveryRow(RecoveryOutcome.RAN, "the host says so itself"),
+    (HostReport.NOT_HERE, True): RecoveryRow(
+        RecoveryOutcome.NEVER_RAN,
+        "the host remembers all since before it left, and passes over it from now on",
     ),
-    (Word.NOT_HERE, False): FateRow(
-        Fate.UNKNOWN, "it may have run in a process before this one, of which nobody tells"
+    (HostReport.NOT_HERE, False): RecoveryRow(
+        RecoveryOutcome.UNKNOWN, "it may have run in a process before this one, of which nobody tells"
     ),
 }
 
 
-def reaches(clock: int, since: int) -> bool:
+def memory_covers(sent_after: int, memory_since: int) -> bool:
     """Tell whether a host's memory, from `since` on, covers a set-up sent after the reading `clock`.
 
     Both are readings of the host's clock in µs, which never goes back, over its restarts too; -1 for none.
     """
-    return 0 <= since <= clock
+    return 0 <= memory_since <= sent_after
--- a/mintmast/decisions/sessions/lease.py
+++ b/mintmast/decisions/sessions/lease.py
@@ -20,9 +20,9 @@
 
 # part by which two clocks may differ in rate: crystals keep 0.0001, clocks being slewed 0.0005 (ntpd's
 # bound); one in a hundred leaves room for a host that is paused in the middle of its own reckoning
-DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 # renewals in a lease: two may be lost before a session ends for want of them
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 
 
 @dataclass(slots=True)
@@ -33,67 +33,69 @@
     """
 
     reading: int = -1
-    heard_at: int = 0
-    sure_at: int = 0
+    latest_at: int = 0
+    earliest_at: int = 0
 
-    def heard(self, reading: int, now: int, asked: int | None) -> None:
+    def record_reading(self, reading: int, now: int, sent_at: int | None) -> None:
         """Take a reading that came at `now`, in answer to a call sent at `asked` or (None) by itself."""
         if reading < self.reading:
             return  # an old word that came late
-        bounds = [] if asked is None else [asked]
+        bounds = [] if sent_at is None else [sent_at]
         if self.reading >= 0:
             # on from the last reading, at the least rate that its clock can have had against ours: a reply
             # that was long under way must not make a bound worse that was known better
-            bounds.append(self.sure_at + int((reading - self.reading) * (1 - DRIFT)))
-        self.reading, self.heard_at, self.sure_at = reading, now, min(max(bounds, default=now), now)
+            bounds.append(self.earliest_at + int((reading - self.reading) * (1 - MAX_CLOCK_DRIFT)))
+        self.reading, self.latest_at, self.earliest_at = reading, now, min(max(bounds, default=now), now)
 
 
 @dataclass(slots=True)
-class _Renewal:
+class _LeaseCall:
     number: int
-    over: int
-    sure: int
-    proven: bool
+    expires_at: int
+    held_until: int
+    rests_on_readings: bool
 
 
 @dataclass(slots=True)
 class Lease:
     """One session's lease as its gateway knows it; µs of the gateway's clock."""
 
-    calls: list[_Renewal] = field(default_factory=list)
-    sure_until: int = 0  # until when the host surely holds it, if it lives and has not been told to end it
+    calls: list[_LeaseCall] = field(default_factory=list)
+    held_until: int = 0  # until when the host surely holds it, if it lives and has not been told to end it
 
-    def asked(self, number: int, now: int, length: int, clock: HostClock | None) -> None:
+    def record_call(self, number: int, now: int, length: int, clock: HostClock | None) -> None:
         """Book a call about to be sent at `now`; without a reading the host counts from its arrival."""
         if clock is None or clock.reading < 0:
-            self.calls.append(_Renewal(number, now + int(2 * length * (1 + DRIFT)), now + length, False))
+            self.calls.append(
+                _LeaseCall(number, now + int(2 * length * (1 + MAX_CLOCK_DRIFT)), now + length, False)
+            )
             return
-        over = clock.heard_at + int(length * (1 + DRIFT)) + 1
-        sure = clock.sure_at + int(length * (1 - DRIFT))
-        self.calls.append(_Renewal(number, over, sure, True))
+        expires_at = clock.latest_at + int(length * (1 + MAX_CLOCK_DRIFT)) + 1
+        held_until = clock.earliest_at + int(length * (1 - MAX_CLOCK_DRIFT))
+        self.calls.append(_LeaseCall(number, expires_at, held_until, True))
 
-    def answered(self, number: int) -> None:
+    def record_answer(self, number: int) -> None:
         """Book that the host took call `number`: it now passes over all earlier ones."""
         for call in self.calls:
             if call.number == number:
-                self.sure_until = call.sure
+                self.held_until = call.held_until
         self.calls = [call for call in self.calls if call.number >= number]
 
-    def never_came(self, number: int) -> None:
+    def discard_call(self, number: int) -> None:
         """Book that call `number` provably never reached the host."""
         self.calls = [call for call in self.calls if call.number != number]
 
     @property
-    def over_at(self) -> int:
+    def expires_at(self) -> int:
         """From when the host holds it no more, as far as can be told."""
-        return max((call.over for call in self.calls), default=0)
+        return max((call.expires_at for call in self.calls), default=0)
 
     @property
-    def proven(self) -> bool:
+    def rests_on_readings(self) -> bool:
         """Tell whether `over_at` rests on readings of the host's clock alone."""
-        return bool(self.calls) and all(call.proven for call in self.calls)
+        return bool(self.calls) and all(call.rests_on_readings for call in self.calls)
 
 
-def renew_every(length: int) -> int:
+def renewal_interval(length: int) -> int:
     """Give the time between renewals of a lease."""
-    return max(1, length // RENEWALS)
+    return max(1, length // RENEWALS_PER_LEASE)
--- a/mintmast/decisions/sessions/sessions.py
+++ b/mintmast/decisions/sessions/sessions.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from mintmast.decisions.messages import Ask
+from mintmast.decisions.messages import ViewerRequest
 from mintmast.decisions.sessions.lease import Lease
 from mintmast.interface import Effect
 
 
-def name_of(gateway: str, start: int, number: int) -> str:
+def format_session_name(gateway: str, generation: int, number: int) -> str:
     """Give a session's name on wires: unique over gateways and their lives."""
-    return f"{gateway}-{start:x}-{number}"
+    return f"{gateway}-{generation:x}-{number}"
 
 
 class Stage(Enum):
@@ -45,7 +45,7 @@
     TAKEN_OFF = "taken off"  # the gateway ends it at its host
 
 
-class Act(Enum):
+class Action(Enum):
     """What follows from a signal."""
 
     SET_UP = "set up"
@@ -53,9 +53,9 @@
     CALL_OFF = "call off"
 
 
-_S, _G, _A = Stage, Signal, Act
+_S, _G, _A = Stage, Signal, Action
 # (stage, signal): next stage, acts
-TABLE: dict[tuple[Stage, Signal], tuple[Stage, tuple[Act, ...]]] = {
+TRANSITIONS: dict[tuple[Stage, Signal], tuple[Stage, tuple[Action, ...]]] = {
     (_S.ASKED, _G.SENT): (_S.OUT, (_A.SET_UP,)),
     (_S.ASKED, _G.CLOSED): (_S.OVER, ()),
     (_S.OUT, _G.STARTED): (_S.PLAYS, ()),
@@ -68,22 +68,22 @@
     (_S.PLAYS, _G.TAKEN_OFF): (_S.OVER, (_A.END,)),
 }
 # a class that may be set up again goes on where others are spent
-FREE_TABLE = {**TABLE, (_S.OUT, _G.MAY_HAVE_RUN): (_S.ASKED, (_A.END,))}
+FREE_TRANSITIONS = {**TRANSITIONS, (_S.OUT, _G.MAY_HAVE_RUN): (_S.ASKED, (_A.END,))}
 
 
-class StepError(AssertionError):
+class TransitionError(AssertionError):
     """A signal that cannot come at the stage: two attempts out, or a spent session sent again."""
 
 
-def step(stage: Stage, signal: Signal, free: bool) -> tuple[Stage, tuple[Act, ...]]:
+def transition_for(stage: Stage, signal: Signal, is_free: bool) -> tuple[Stage, tuple[Action, ...]]:
     """Give the next stage and what to do; `free` tells that the class may be set up again.
 
     Raises StepError for a signal that the stage does not know.
     """
     try:
-        return (FREE_TABLE if free else TABLE)[stage, signal]
+        return (FREE_TRANSITIONS if is_free else TRANSITIONS)[stage, signal]
     except KeyError:
-        raise StepError(f"{signal.value} at a session that is {stage.value}") from None
+        raise TransitionError(f"{signal.value} at a session that is {stage.value}") from None
 
 
 @dataclass(slots=True, eq=False)
@@ -91,44 +91,44 @@
     """One session; behind each group of fields stands the part that writes them."""
 
     number: int
-    ask: Ask
+    request: ViewerRequest
     deadline: int  # µs; a viewer waits no longer
     effect: Effect
     rung: int = 0  # the book, by the module's word
-    waiting: dict[int, int] = field(default_factory=dict)  # asks: ask and its deadline
+    waiting_requests: dict[int, int] = field(default_factory=dict)  # asks: ask and its deadline
     # set-ups
     stage: Stage = Stage.ASKED
     server: bytes | None = None
     epoch: int = 0
     attempts: int = 0
     sent_at: int = 0
-    held_back: bool = False  # its attempt waits for its intent to be durable; nothing has left
-    why: str = ""  # what a refusal rests on, where it is not want of room
-    started: int = 0  # when it first played, also at the host from which it was moved
-    ran: bool = False  # when it was over, something of it may have run
+    awaits_record: bool = False  # its attempt waits for its intent to be durable; nothing has left
+    refusal_reason: str = ""  # what a refusal rests on, where it is not want of room
+    first_played_at: int = 0  # when it first played, also at the host from which it was moved
+    may_have_run: bool = False  # when it was over, something of it may have run
     lease: Lease | None = None  # leases
 
     @property
-    def free(self) -> bool:
+    def is_free(self) -> bool:
         """Tell whether it may be set up again, whatever ran."""
         return self.effect is Effect.FREE
 
     @property
-    def out(self) -> bool:
+    def has_attempt_out(self) -> bool:
         """Tell whether an attempt is out."""
         return self.stage is Stage.OUT
 
     @property
-    def playing(self) -> bool:
+    def is_playing(self) -> bool:
         """Tell whether it plays."""
         return self.stage is Stage.PLAYS
 
-    def take(self, signal: Signal) -> tuple[Act, ...]:
+    def apply_signal(self, signal: Signal) -> tuple[Action, ...]:
         """Go on by the table; give what follows. Raises StepError."""
         before = self.stage
-        self.stage, acts = step(before, signal, self.free)
-        self.ran = self.stage is Stage.OVER and before is not Stage.ASKED
-        return acts
+        self.stage, actions = transition_for(before, signal, self.is_free)
+        self.may_have_run = self.stage is Stage.OVER and before is not Stage.ASKED
+        return actions
 
 
 class Sessions:
@@ -136,33 +136,33 @@
 
     def __init__(self) -> None:
         self.by_number: dict[int, Session] = {}
-        self._at: dict[bytes, dict[int, Session]] = {}
-        self._number = 0
+        self._playing_by_host: dict[bytes, dict[int, Session]] = {}
+        self._last_number = 0
 
-    def open(self, ask: Ask, deadline: int, effect: Effect) -> Session:
+    def open(self, request: ViewerRequest, deadline: int, effect: Effect) -> Session:
         """Begin a session."""
-        self._number += 1
-        session = self.by_number[self._number] = Session(self._number, ask, deadline, effect)
+        self._last_number += 1
+        session = self.by_number[self._last_number] = Session(self._last_number, request, deadline, effect)
         return session
 
     def get(self, number: int) -> Session | None:
         """Give a session that is not over."""
         return self.by_number.get(number)
 
-    def plays(self, session: Session, server: bytes) -> None:
+    def add_playing(self, session: Session, server: bytes) -> None:
         """Find it at its host from now on."""
-        self._at.setdefault(server, {})[session.number] = session
+        self._playing_by_host.setdefault(server, {})[session.number] = session
 
-    def at(self, server: bytes) -> dict[int, Session]:
+    def playing_at(self, server: bytes) -> dict[int, Session]:
         """Give the sessions that play at a host; not to be changed."""
-        return self._at.get(server, {})
+        return self._playing_by_host.get(server, {})
 
-    def forget(self, session: Session) -> None:
+    def remove(self, session: Session) -> None:
         """Find it no more."""
         self.by_number.pop(session.number, None)
         if session.server is not None:
-            at = self._at.get(session.server)
+            at = self._playing_by_host.get(session.server)
             if at is not None:
                 at.pop(session.number, None)
                 if not at:
-                    del self._at[session.server]
+                    del self._playing_by_host[session.server]
