--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -22,7 +22,7 @@
 
 from benchmarks.gateway import host, load, pin, settings_of, start, tokens_of
 from mintmast.config import parse
-from mintmast.decisions.gateways.records import Grant, Intent, StoredRecord, RecordKind, WriteRecords
+from mintmast.decisions.gateways.records import Grant, Intent, RecordKind, StoredRecord, WriteRecords
 from mintmast.gateway import Gateway
 from mintmast.lab.drills import PAID
 from mintmast.loop.real import SelectorLoop, tune_garbage_collector
--- a/mintmast/decisions/gateways/history.py
+++ b/mintmast/decisions/gateways/history.py
@@ -5,11 +5,11 @@
 from bisect import bisect_left
 
 from mintmast.decisions.gateways.revision_types import (
-    PatchValidator,
     Delta,
+    PatchValidator,
     RevisionId,
-    RevisionRequest,
     RevisionReply,
+    RevisionRequest,
     Stored,
     digest_of,
 )
--- a/mintmast/decisions/gateways/pulls.py
+++ b/mintmast/decisions/gateways/pulls.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from mintmast.decisions.gateways.history import MAX_DOCUMENT_BYTES
-from mintmast.decisions.gateways.revision_types import Delta, RevisionId, RevisionReply, PullSource, digest_of
+from mintmast.decisions.gateways.revision_types import Delta, PullSource, RevisionId, RevisionReply, digest_of
 
 MS, SECOND = 1000, 1_000_000
 # µs for an answer: of the region, a hundred round trips and a busy loop; of another region, some more
--- a/mintmast/lab/disk.py
+++ b/mintmast/lab/disk.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from mintmast.decisions.gateways.records import (
-    StoredRecord,
     RecordKind,
+    RecordsWritten,
     RecoveredState,
+    StoredRecord,
     WriteRecords,
-    RecordsWritten,
     encode_record,
     next_generation,
     recover_state,
--- a/mintmast/lab/loopback.py
+++ b/mintmast/lab/loopback.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.lab.hostmodel import HostModel
 from mintmast.lab.links import Links
 from mintmast.lab.ports import Ports, own_address
--- a/mintmast/loop/real.py
+++ b/mintmast/loop/real.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from mintmast.loop.base import DEFAULT_LIMITS, Handler, StreamLimits, Timer, Timers
-from mintmast.loop.sockets import SocketListener, DatagramSocket, SocketStream, connect_failure_reason
+from mintmast.loop.sockets import DatagramSocket, SocketListener, SocketStream, connect_failure_reason
 
 _IN_PROGRESS = {errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EAGAIN}
 # allocations between looks for garbage in rings: the youngest generation, then how many of each before the
--- a/mintmast/peers/membership_transport.py
+++ b/mintmast/peers/membership_transport.py
@@ -15,24 +15,24 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.claim_messages import PeerStatusChanged, ProcessDisqualified
+from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipMessage, GossipWithDigest
+from mintmast.decisions.gateways.member_status import MEMBER_POLICIES
 from mintmast.decisions.gateways.members import PROBE_PERIOD_US, Members
-from mintmast.decisions.gateways.revision_types import RevisionAnnounced
 from mintmast.decisions.gateways.membership_types import (
-    MemberChanged,
+    ConnectionRefused,
     Event,
     ForgetMember,
     GossipReceived,
+    MemberChanged,
     MemberMoved,
     OperatorNotice,
-    ConnectionRefused,
+    ScheduleTimer,
     SendGossip,
     TimerFired,
-    ScheduleTimer,
 )
-from mintmast.decisions.gateways.member_status import MEMBER_POLICIES
-from mintmast.decisions.gateways.claim_messages import ProcessDisqualified, PeerStatusChanged
-from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipWithDigest, GossipMessage
-from mintmast.http.client import Address, ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.decisions.gateways.revision_types import RevisionAnnounced
+from mintmast.http.client import Address, CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.loop import Loop
 
 PATH = "/v1/members"
--- a/mintmast/sources/eureka.py
+++ b/mintmast/sources/eureka.py
@@ -16,7 +16,7 @@
 from lxml import etree
 
 from mintmast.decisions.hosts.registry import Instance, RegistryReader, build_list_entries
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.interface import ListEntry
 from mintmast.loop import Loop
 
--- a/tests/test_forgetting.py
+++ b/tests/test_forgetting.py
@@ -1,6 +1,6 @@
 """What is over is forgotten, and what is the request's fault is not laid on servers."""
 
-from helpers import T0, S, server_entry, attempt_end, make_controller, action_names, request, set_ups
+from helpers import T0, S, action_names, attempt_end, make_controller, request, server_entry, set_ups
 
 from mintmast import interface as api
 from mintmast.interface import Outcome, ServerState
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -8,35 +8,35 @@
 import pytest
 
 from mintmast.decisions.gateways import history, publisher, pulls
+from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipMessage, GossipWithRevision
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.decisions.gateways.revision_types import (
-    MAX_NUMBER,
     EMPTY_PATCH,
-    PullRevisions,
-    Delta,
-    RevisionId,
-    RevisionAnnounced,
+    MAX_NUMBER,
     ActiveRevision,
-    WriteRevision,
-    WriteFinished,
+    Delta,
+    LogEvent,
     OrderAnswered,
     Publish,
+    PullRevisions,
     PullSucceeded,
-    RevisionRequest,
+    RevisionAnnounced,
+    RevisionId,
     RevisionReply,
-    LogEvent,
+    RevisionRequest,
+    ScheduleTimer,
     TakeOver,
     TimerFired,
-    ScheduleTimer,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.revision_gossip import RevisionGossip
-from mintmast.decisions.gateways.gossip_messages import GossipWithRevision, GossipKind, GossipMessage
 from mintmast.lab.revisionwalk import BEGUN, PATCHES, Model, fleet, head, walk
 from mintmast.lab.scale.configuration import rows
 from mintmast.lab.spread import Spread, check, weather
 from mintmast.loop.memory import World
-from mintmast.peers import PeerTransport, MembershipTransport
+from mintmast.peers import MembershipTransport, PeerTransport
 
 SECOND = 1_000_000
 # s after the last fault in which all that run must have the same in force: the target
