--- a/mintmast/decisions/gateways/claims.py
+++ b/mintmast/decisions/gateways/claims.py
@@ -25,7 +25,7 @@
 from itertools import combinations
 
 from mintmast.decisions.gateways.claim_messages import KnownClaim, SendClaim, SendRelease, Vote, VoteReceived
-from mintmast.decisions.gateways.witness import RECORD_RETENTION_US, MAX_SESSION_US, WitnessSelector, hash_key
+from mintmast.decisions.gateways.witness import MAX_SESSION_US, RECORD_RETENTION_US, WitnessSelector, hash_key
 from mintmast.decisions.gateways.witness_service import CLAIM_TIMEOUT_US, WitnessService
 from mintmast.decisions.messages import ScheduleTimer
 
--- a/mintmast/decisions/gateways/exclusions.py
+++ b/mintmast/decisions/gateways/exclusions.py
@@ -31,13 +31,13 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 from mintmast.decisions.gateways.claim_messages import (
     ExclusionsAcknowledged,
     LearnReply,
     SendExclusions,
     SendLearnRequest,
 )
+from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 
 SECOND = 1_000_000
 # µs after which an unanswered message is sent again
--- a/mintmast/decisions/gateways/witness_service.py
+++ b/mintmast/decisions/gateways/witness_service.py
@@ -8,19 +8,19 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.gateways.exclusions import Exclusions
-from mintmast.decisions.gateways.records import Grant, RecordWriter, RecordKind, RecoveredState
 from mintmast.decisions.gateways.claim_messages import (
     ExclusionsAcknowledged,
-    ProcessDisqualified,
     KnownClaim,
     LearnReply,
     PeerCall,
     PeerReply,
     PeerStatusChanged,
+    ProcessDisqualified,
     Vote,
 )
-from mintmast.decisions.gateways.witness import RECORDS_PER_PAGE, WitnessSelector, WitnessRecords
+from mintmast.decisions.gateways.exclusions import Exclusions
+from mintmast.decisions.gateways.records import Grant, RecordKind, RecordWriter, RecoveredState
+from mintmast.decisions.gateways.witness import RECORDS_PER_PAGE, WitnessRecords, WitnessSelector
 from mintmast.decisions.messages import LogEvent, ScheduleTimer
 
 SECOND = 1_000_000
--- a/mintmast/decisions/hosts/list_handover.py
+++ b/mintmast/decisions/hosts/list_handover.py
@@ -7,7 +7,7 @@
 
 from mintmast import interface as api
 from mintmast.decisions.hosts.host_state import HostStates
-from mintmast.decisions.messages import UnwatchHost, ScheduleTimer, WatchHost
+from mintmast.decisions.messages import ScheduleTimer, UnwatchHost, WatchHost
 
 # for a long list: entries handed to the module per turn, watches opened per turn, and µs between such turns.
 # A list of 10,000 takes half a second, and viewers are answered meanwhile
--- a/mintmast/peers/transport.py
+++ b/mintmast/peers/transport.py
@@ -17,27 +17,27 @@
 import msgspec
 
 from mintmast.core.ports import PeerEvents
-from mintmast.decisions.gateways.revision_types import (
-    PullRevisions,
-    PullSucceeded,
-    PullFailed,
-    RevisionRequest,
-)
-from mintmast.decisions.gateways.revision_types import RevisionReply as Revised
 from mintmast.decisions.gateways.claim_messages import (
     ExclusionsAcknowledged,
     KnownClaim,
     LearnReply,
     PeerCall,
     PeerReply,
-    SendExclusions,
     SendClaim,
+    SendExclusions,
     SendLearnRequest,
     SendRelease,
     Vote,
     VoteReceived,
 )
-from mintmast.http.client import Address, ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.decisions.gateways.revision_types import (
+    PullFailed,
+    PullRevisions,
+    PullSucceeded,
+    RevisionRequest,
+)
+from mintmast.decisions.gateways.revision_types import RevisionReply as Revised
+from mintmast.http.client import Address, CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
 from mintmast.loop import Loop
 from mintmast.peers import membership_transport
--- a/tests/test_exclusions.py
+++ b/tests/test_exclusions.py
@@ -8,15 +8,15 @@
 import pytest
 
 from mintmast.decisions.gateways import exclusions
-from mintmast.decisions.gateways.claims import count_compatible_votes
-from mintmast.decisions.gateways.exclusions import Exclusions
-from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.claim_messages import (
     ExclusionsAcknowledged,
     LearnReply,
     SendLearnRequest,
     Vote,
 )
+from mintmast.decisions.gateways.claims import count_compatible_votes
+from mintmast.decisions.gateways.exclusions import Exclusions
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.witness import ClaimRecord, merge_known_claim, vote_on_claim
 
 # The model: one key, witnesses a, w and x, claims p and q. A claim owns the key as soon as votes that may be
