--- a/mintmast/decisions/gateways/claims.py
+++ b/mintmast/decisions/gateways/claims.py
@@ -1,7 +1,7 @@
 """Ownership of paid keys among the gateways of a region: a claim needs the votes of two of three witnesses.
 
 Claims prevent a second charge when a viewer returns through another gateway, asks two gateways at once, or
-returns after his gateway died. Before a paid set-up is sent, its gateway claims the key at the key's
+returns after the gateway died. Before a paid set-up is sent, its gateway claims the key at the key's
 witnesses, which are gateways chosen by rendezvous hashing so that every gateway names the same ones. A
 witness grants a key to one claim at a time, until that claim is released or its record expires. Two of three
 are a majority and any two majorities share a witness, so there is at most one owner, whatever messages are
@@ -60,25 +60,25 @@
     missing: int = 0  # no reply in time, or an abstention
 
 
-def evaluate_votes(tally: VoteTally, witnesses: int) -> ClaimState:
+def evaluate_votes(tally: VoteTally, witness_count: int) -> ClaimState:
     """Return the state of an attempt from its votes; their order does not matter."""
-    most = witnesses // 2 + 1
-    if tally.granted >= most:
+    majority = witness_count // 2 + 1
+    if tally.granted >= majority:
         return ClaimState.OWNED
-    if tally.denied >= most:
+    if tally.denied >= majority:
         return ClaimState.LOST
-    if tally.granted + (witnesses - tally.granted - tally.denied - tally.missing) >= most:
+    if tally.granted + (witness_count - tally.granted - tally.denied - tally.missing) >= majority:
         return ClaimState.PENDING  # a majority is still possible
     if tally.denied and tally.granted:
         return ClaimState.SPLIT
     return ClaimState.LOST if tally.denied else ClaimState.NO_QUORUM
 
 
-def count_compatible_votes(granted: dict[str, tuple[str, ...]]) -> int:
+def count_compatible_votes(exclusions: dict[str, tuple[str, ...]]) -> int:
     """Return the size of the largest set of votes that may be combined, none excluding another."""
-    for size in range(len(granted), 0, -1):
-        for group in combinations(sorted(granted), size):
-            if not any(other in granted[each] for each in group for other in group):
+    for size in range(len(exclusions), 0, -1):
+        for group in combinations(sorted(exclusions), size):
+            if not any(other in exclusions[each] for each in group for other in group):
                 return size
     return 0
 
@@ -96,7 +96,7 @@
     votes: dict[str, Vote | None] = field(default_factory=dict)
     # by witness that granted the key: the witnesses whose votes its vote excludes
     exclusions: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    deferred: list[str] = field(default_factory=list)
+    deferred: list[str] = field(default_factory=list)  # unreachable witnesses, asked only if needed
 
 
 class Claims:
@@ -132,9 +132,9 @@
 
     # Claiming
 
-    def claim_key(self, now: int, session: int, key: str, length: int, until: int) -> None:
+    def claim_key(self, now: int, session: int, key: str, length: int, deadline: int) -> None:
         """Claim a key by `deadline` (µs) for a session of `length` µs, 0 if unknown."""
-        claim = _Claim(session, hash_key(key), (length or MAX_SESSION_US) + RECORD_RETENTION_US, until)
+        claim = _Claim(session, hash_key(key), (length or MAX_SESSION_US) + RECORD_RETENTION_US, deadline)
         if self._owned.get(claim.digest, ("", 0, now))[2] > now:  # a session that may have run holds it
             self._on_decided(now, session, "this key has been used")
             return
@@ -156,51 +156,57 @@
         witnesses = self._selector.select(claim.digest)
         claim.votes, claim.exclusions = dict.fromkeys(witnesses), {}
         self._by_number[claim.number] = claim
-        others = sorted((each for each in witnesses if each != self._gateway), key=self._is_not_preferred)
-        first = [each for each in others if not self.witness_service.exclusions.peers[each].unreachable]
-        enough = len(first) + (self._gateway in witnesses) > len(witnesses) // 2
-        if not enough or claim.attempts > 1:
-            first = others
-        claim.deferred = [each for each in others if each not in first]
-        self._send_claims(now, claim, first)
+        other_witnesses = sorted(
+            (each for each in witnesses if each != self._gateway), key=self._is_not_preferred
+        )
+        preferred = [
+            each for each in other_witnesses if not self.witness_service.exclusions.peers[each].unreachable
+        ]
+        preferred_suffice = len(preferred) + (self._gateway in witnesses) > len(witnesses) // 2
+        if not preferred_suffice or claim.attempts > 1:
+            preferred = other_witnesses
+        claim.deferred = [each for each in other_witnesses if each not in preferred]
+        self._send_claims(now, claim, preferred)
         if self._gateway in claim.votes:
             number = claim.number
 
-            def told(at: int, vote: Vote, without: tuple[str, ...]) -> None:
-                self.handle_vote(at, VoteReceived(self._gateway, number, vote, without))
+            def count_own_vote(at: int, vote: Vote, excluded: tuple[str, ...]) -> None:
+                self.handle_vote(at, VoteReceived(self._gateway, number, vote, excluded))
 
-            self.witness_service.vote(now, claim.digest, self._owner, number, claim.retention, told)
+            self.witness_service.vote(now, claim.digest, self._owner, number, claim.retention, count_own_vote)
 
     def _is_not_preferred(self, name: str) -> bool:
         return not self.witness_service.exclusions.peers[name].is_preferred
 
     def _send_claims(self, now: int, claim: _Claim, witnesses: list[str]) -> None:
         for each in witnesses:
-            until = max(now, claim.requested_at + CLAIM_TIMEOUT_US)
-            self._emit(SendClaim(each, claim.digest, claim.number, claim.retention, until))
+            deadline = max(now, claim.requested_at + CLAIM_TIMEOUT_US)
+            self._emit(SendClaim(each, claim.digest, claim.number, claim.retention, deadline))
 
     def handle_vote(self, now: int, event: VoteReceived) -> None:
         """Count a witness's vote, or its failure to vote."""
         claim = self._by_number.get(event.number)
         if claim is None or claim.number != event.number or claim.state is not ClaimState.PENDING:
             return
-        late = now - claim.requested_at > CLAIM_TIMEOUT_US  # also if this process was paused meanwhile
+        is_late = now - claim.requested_at > CLAIM_TIMEOUT_US  # also if this process was paused meanwhile
         # a later process of that name runs already and does not know of a vote given by the earlier one
-        over = 0 < event.generation < self.witness_service.exclusions.generation_of(event.peer)
-        self._record_vote(now, claim, event.peer, Vote.NONE if late or over else event.vote, event.excluded)
+        is_superseded = 0 < event.generation < self.witness_service.exclusions.generation_of(event.peer)
+        self._record_vote(
+            now, claim, event.peer, Vote.NONE if is_late or is_superseded else event.vote, event.excluded
+        )
 
     def _record_vote(
-        self, now: int, claim: _Claim, witness: str, told: Vote, without: tuple[str, ...] = ()
+        self, now: int, claim: _Claim, witness: str, vote: Vote, excluded: tuple[str, ...] = ()
     ) -> None:
-        claim.votes[witness] = told
-        if told is Vote.GRANTED:
-            claim.exclusions[witness] = without
-        cast = list(claim.votes.values())
+        claim.votes[witness] = vote
+        if vote is Vote.GRANTED:
+            claim.exclusions[witness] = excluded
+        votes = list(claim.votes.values())
         granted = count_compatible_votes(claim.exclusions)
-        missing = cast.count(Vote.NONE) + len(claim.exclusions) - granted
-        claim.state = evaluate_votes(VoteTally(granted, cast.count(Vote.HELD), missing), len(cast))
+        missing = votes.count(Vote.NONE) + len(claim.exclusions) - granted
+        claim.state = evaluate_votes(VoteTally(granted, votes.count(Vote.HELD), missing), len(votes))
         if claim.state is ClaimState.PENDING:
-            if claim.deferred and cast.count(None) == len(claim.deferred):
+            if claim.deferred and votes.count(None) == len(claim.deferred):
                 rest, claim.deferred = claim.deferred, []
                 self._send_claims(now, claim, rest)
             return
@@ -209,7 +215,7 @@
             self._on_decided(now, claim.session, "")
             return
         self._abandon(now, claim)
-        again = now + (
+        retry_at = now + (
             CLAIM_TIMEOUT_US
             if claim.state is ClaimState.NO_QUORUM
             else SPLIT_RETRY_US + self._retry_jitter(claim)
@@ -217,18 +223,18 @@
         if (
             claim.state is not ClaimState.LOST
             and claim.attempts < MAX_CLAIM_ATTEMPTS
-            and again < claim.deadline
+            and retry_at < claim.deadline
         ):
-            self._emit(ScheduleTimer(again, ("claim", claim.session)))
+            self._emit(ScheduleTimer(retry_at, ("claim", claim.session)))
             return
         self._claims.pop(claim.session, None)
-        known = claim.state is ClaimState.LOST
-        reason = "another gateway owns this key" if known else NO_QUORUM_REASON
+        is_lost = claim.state is ClaimState.LOST
+        reason = "another gateway owns this key" if is_lost else NO_QUORUM_REASON
         self._on_decided(now, claim.session, reason)
 
     def _retry_jitter(self, claim: _Claim) -> int:
-        drawn = hashlib.blake2b(f"{self._owner} {claim.number}".encode(), digest_size=4).digest()
-        return int.from_bytes(drawn, "big") % SPLIT_RETRY_US
+        digest = hashlib.blake2b(f"{self._owner} {claim.number}".encode(), digest_size=4).digest()
+        return int.from_bytes(digest, "big") % SPLIT_RETRY_US
 
     def retry(self, now: int, session: int) -> None:
         """Start another attempt, if the claim is still wanted."""
@@ -257,21 +263,21 @@
             if each == self._gateway:
                 self.witness_service.release(now, digest, owner, number)
             else:
-                before = owner if owner != self._owner else ""
-                self._emit(SendRelease(each, digest, number, now + RELEASE_TIMEOUT_US, before))
+                earlier_owner = owner if owner != self._owner else ""
+                self._emit(SendRelease(each, digest, number, now + RELEASE_TIMEOUT_US, earlier_owner))
 
     # Keys owned by earlier generations
 
     def owning_claim(self, session: int) -> tuple[str, int]:
         """Return owner and number of the claim that owns a session's key; ("", 0) if none does."""
         claim = self._claims.get(session)
-        owns = claim is not None and claim.state is ClaimState.OWNED
-        return (self._owner, claim.number) if owns and claim is not None else ("", 0)
+        is_owner = claim is not None and claim.state is ClaimState.OWNED
+        return (self._owner, claim.number) if is_owner and claim is not None else ("", 0)
 
-    def restore_owned(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
-        """Restore a key that an earlier generation owned, to be kept for another `keep` µs."""
+    def restore_owned(self, now: int, digest: str, owner: str, number: int, retention: int) -> None:
+        """Restore a key that an earlier generation owned, to be kept for another `retention` µs."""
         if self.enabled and owner:
-            self._owned[digest] = owner, number, now + keep
+            self._owned[digest] = owner, number, now + retention
 
     def release_restored(self, now: int, digest: str) -> None:
         """Release a key that an earlier generation owned and whose session provably never ran."""
@@ -281,9 +287,9 @@
 
     def _list_owned(self, now: int) -> dict[str, KnownClaim]:
         """Return the keys that this gateway owns, by digest."""
-        for digest in [each for each, (*_, until) in self._owned.items() if until <= now]:
+        for digest in [each for each, (*_, expires_at) in self._owned.items() if expires_at <= now]:
             del self._owned[digest]
         return {
-            digest: (digest, owner, number, until - now)
-            for digest, (owner, number, until) in self._owned.items()
+            digest: (digest, owner, number, expires_at - now)
+            for digest, (owner, number, expires_at) in self._owned.items()
         }
--- a/mintmast/decisions/gateways/exclusions.py
+++ b/mintmast/decisions/gateways/exclusions.py
@@ -45,12 +45,14 @@
 NOBODY: frozenset[str] = frozenset()
 # sorts after every digest: a learn request that asks for no records
 NO_RECORDS = "~"
-# saves the exclusions that a peer may have recorded, then calls `then(now, is_durable)`
+# saves the exclusions that a peer may have recorded, then calls the callback with (now, is_durable)
 SaveExclusions = Callable[[int, str, frozenset[str], Callable[[int, bool], None]], None]
 
 
-def _save_immediately(now: int, name: str, names: frozenset[str], then: Callable[[int, bool], None]) -> None:
-    then(now, True)
+def _save_immediately(
+    now: int, name: str, excluded: frozenset[str], on_saved: Callable[[int, bool], None]
+) -> None:
+    on_saved(now, True)
 
 
 @dataclass(slots=True)
@@ -150,9 +152,9 @@
     def restore(self, generation: int, exclusions: dict[str, frozenset[str]]) -> None:
         """Start from complete records: the latest generation in them and the exclusions by peer."""
         self._recorded_generation, self._knows_all, self.earlier_claims_settled = generation, True, True
-        for name, names in exclusions.items():
+        for name, excluded in exclusions.items():
             if name in self.peers:
-                self.peers[name].excluded = names & self.peers.keys()
+                self.peers[name].excluded = excluded & self.peers.keys()
 
     def distrust_records(self) -> None:
         """Distrust records that are not the latest: ask all peers, as without records."""
@@ -162,19 +164,19 @@
             False,
             False,
         )
-        for other in self.peers.values():
-            other.not_voting_with, other.vouches_for, other.read = None, NOBODY, None
+        for peer in self.peers.values():
+            peer.not_voting_with, peer.vouches_for, peer.read = None, NOBODY, None
 
     def _is_accounted_for(self, name: str, witnesses: tuple[str, ...]) -> bool:
-        if self._has_told_all(name, witnesses):
+        if self._has_reported_all(name, witnesses):
             return True
         return any(
-            name in self.peers[each].vouches_for and self._has_told_all(each, witnesses)
+            name in self.peers[each].vouches_for and self._has_reported_all(each, witnesses)
             for each in witnesses
             if each != name
         )
 
-    def _has_told_all(self, name: str, witnesses: tuple[str, ...]) -> bool:
+    def _has_reported_all(self, name: str, witnesses: tuple[str, ...]) -> bool:
         not_voting_with = self.peers[name].not_voting_with
         return (
             not_voting_with is not None
@@ -190,12 +192,12 @@
     def is_voting(self) -> bool:
         """Return whether it votes on all keys that can be decided, those with another reachable witness."""
         if not self._is_voting:
-            told = self._knows_all or any(self._has_told_all(each, ()) for each in self.peers)
+            any_reported = self._knows_all or any(self._has_reported_all(each, ()) for each in self.peers)
             if self._recorded_generation is not None and self.peers:
                 self._is_voting = self._records_confirmed(list(self.peers.values()))
                 return self._is_voting
             self._is_voting = (
-                self.earlier_claims_settled and told and next(self._find_awaited(), None) is None
+                self.earlier_claims_settled and any_reported and next(self._find_awaited(), None) is None
             )
         return self._is_voting
 
@@ -212,111 +214,112 @@
 
     def state(self) -> dict[str, object]:
         """Return for operators: awaited peers, exclusions by peer, gateways vouched for by peer."""
-        held = {name: sorted(other.excluded) for name, other in self.peers.items() if other.excluded}
-        here = {
+        excluded = {name: sorted(other.excluded) for name, other in self.peers.items() if other.excluded}
+        vouched_for = {
             name: sorted(other.vouching.vouched_for)
             for name, other in self.peers.items()
             if other.vouching.vouched_for
         }
-        return {"waits_for": self.awaited_peers(), "held_aside": held, "covers": here}
+        return {"waits_for": self.awaited_peers(), "held_aside": excluded, "covers": vouched_for}
 
     def _find_awaited(self) -> Iterator[str]:
-        for name, other in self.peers.items():
-            if not self._votes_with(name, other, self._unreachable):
+        for name, peer in self.peers.items():
+            if not self._votes_with(name, peer, self._unreachable):
                 yield name
 
-    def _votes_with(self, name: str, other: _Peer, out: set[str] | frozenset[str] = NOBODY) -> bool:
-        """Return whether it votes on all keys with this peer, except those whose witnesses are all `out`."""
-        if self._recorded_generation is None and (self._knows_all or other.not_voting_with == NOBODY):
+    def _votes_with(self, name: str, peer: _Peer, unreachable: set[str] | frozenset[str] = NOBODY) -> bool:
+        """Return whether it votes on all keys with this peer, except where all others are unreachable."""
+        if self._recorded_generation is None and (self._knows_all or peer.not_voting_with == NOBODY):
             return self.earlier_claims_settled
         if len(self.peers) == 1:
             return self.may_vote_with((name,))
         return all(
-            self.may_vote_with((name, each)) or {name, each} <= out for each in self.peers if each != name
+            self.may_vote_with((name, each)) or {name, each} <= unreachable
+            for each in self.peers
+            if each != name
         )
 
     # Input from membership and peers
 
     def update_peer(self, name: str, liveness: Liveness, generation: int) -> None:
         """Update a peer's liveness and generation."""
-        other = self.peers[name]
+        peer = self.peers[name]
         self.note_generation(name, generation)
         policy = MEMBER_POLICIES[liveness]
-        other.unreachable, other.process_ended, other.is_preferred = (
+        peer.unreachable, peer.process_ended, peer.is_preferred = (
             not policy.counts_as_capacity,
             policy.process_ended,
             policy.is_preferred,
         )
-        (self._unreachable.add if other.unreachable else self._unreachable.discard)(name)
-        if other.process_ended:  # its memory is lost with it
-            other.forget_acknowledged()
+        (self._unreachable.add if peer.unreachable else self._unreachable.discard)(name)
+        if peer.process_ended:  # its memory is lost with it
+            peer.forget_acknowledged()
             self._update_knows_all()
 
     def note_generation(self, name: str, generation: int) -> None:
         """Record a peer's generation; a later one does not remember what an earlier one acknowledged."""
-        other = self.peers[name]
-        if generation > other.generation:
-            if other.generation:
-                other.previous_generation = other.generation
-                other.forget_acknowledged()
-            other.read, other.vouching.unread = None, NOBODY
-            other.generation = generation
+        peer = self.peers[name]
+        if generation > peer.generation:
+            if peer.generation:
+                peer.previous_generation = peer.generation
+                peer.forget_acknowledged()
+            peer.read, peer.vouching.unread = None, NOBODY
+            peer.generation = generation
 
     def handle_learn_reply(self, now: int, event: LearnReply) -> None:
         """Handle the end of a learn request; the claims in the reply are merged by the witness service."""
-        other = self.peers[event.peer]
-        read = other.read
+        peer = self.peers[event.peer]
+        read = peer.read
         if read is None or event.number != read.number or not event.answered:
             return  # sent again after its deadline
-        generation = (
-            event.generation or other.generation
-        )  # gateways of the previous release send none and vouch for nobody
-        if generation > other.generation:
+        # gateways of the previous release send no generation and vouch for nobody
+        generation = event.generation or peer.generation
+        if generation > peer.generation:
             self.note_generation(event.peer, generation)
-        if generation < other.generation or (read.pages and read.generation != generation):
-            other.read = None  # pages of two generations do not make one complete report
+        if generation < peer.generation or (read.pages and read.generation != generation):
+            peer.read = None  # pages of two generations do not make one complete report
             return
-        other.read, read.generation, read.pages = read, generation, read.pages + 1
+        peer.read, read.generation, read.pages = read, generation, read.pages + 1
         if self._recorded_generation is not None and event.previous_generation > self._recorded_generation:
             self.records_are_stale = True
             return
-        other.confirmed_records = True
+        peer.confirmed_records = True
         read.not_voting_with.update(event.not_voting_with if event.generation else (self._gateway,))
         if event.more and event.records:
             self._send_learn_request(now, event.peer, read, event.records[-1][0])
             return
-        other.read = None
+        peer.read = None
         if read.with_records:
-            self._finish_read(other, read, event)
-
-    def _finish_read(self, other: _Peer, read: _PendingRead, event: LearnReply) -> None:
-        covered = frozenset(event.vouched_for) & self.peers.keys()
-        if other.not_voting_with is None:  # exclusions of earlier generations still hold
-            other.excluded |= covered
-            other.acknowledged = other.excluded
-        other.vouches_for |= covered if other.not_voting_with is None else NOBODY
+            self._finish_read(peer, read, event)
+
+    def _finish_read(self, peer: _Peer, read: _PendingRead, event: LearnReply) -> None:
+        vouched_for = frozenset(event.vouched_for) & self.peers.keys()
+        if peer.not_voting_with is None:  # exclusions of earlier generations still hold
+            peer.excluded |= vouched_for
+            peer.acknowledged = peer.excluded
+        peer.vouches_for |= vouched_for if peer.not_voting_with is None else NOBODY
         not_voting_with = frozenset(read.not_voting_with)
-        other.not_voting_with = (
-            not_voting_with if other.not_voting_with is None else other.not_voting_with & not_voting_with
+        peer.not_voting_with = (
+            not_voting_with if peer.not_voting_with is None else peer.not_voting_with & not_voting_with
         )
-        vouching = other.vouching
+        vouching = peer.vouching
         if (read.generation, read.version) == (vouching.generation, vouching.version):
             vouching.vouched_for, vouching.unread = vouching.vouched_for | vouching.unread, NOBODY
         self._update_knows_all()
 
     def _update_knows_all(self) -> None:
-        """Check whether each peer has reported or its process has ended: then no further claims are known."""
+        """Check whether each peer has reported or its process has ended: then nobody knows of others."""
         if all(each.not_voting_with is not None or each.process_ended for each in self.peers.values()):
             self._knows_all = True
 
     def handle_acknowledgement(self, now: int, event: ExclusionsAcknowledged) -> None:
         """Handle a peer's acknowledgement that it has recorded exclusions."""
-        other = self.peers[event.peer]
-        version, names = other.sent
+        peer = self.peers[event.peer]
+        version, excluded = peer.sent
         if event.version == version:
-            other.excluded = other.acknowledged = names
-            other.resend_at = 0
-            self._save(now, event.peer, names, lambda at, good: None)
+            peer.excluded = peer.acknowledged = excluded
+            peer.resend_at = 0
+            self._save(now, event.peer, excluded, lambda at, is_durable: None)
 
     def generation_of(self, name: str) -> int:
         """Return the latest known generation of a peer; 0 if none is known, or for this gateway."""
@@ -332,23 +335,23 @@
             not_voting_with = [name]
         return tuple(not_voting_with), tuple(sorted(self.peers[name].vouching.vouched_for))
 
-    def record_exclusions(self, name: str, generation: int, version: int, names: tuple[str, ...]) -> int:
+    def record_exclusions(self, name: str, generation: int, version: int, excluded: tuple[str, ...]) -> int:
         """Record whom a peer excludes; return the version that is recorded, -1 if none is.
 
         Messages of an earlier generation and overtaken ones are ignored: they would vouch for what no longer
         holds.
         """
-        other = self.peers[name]
+        peer = self.peers[name]
         self.note_generation(name, generation)
-        vouching = other.vouching
-        if generation < other.generation:
+        vouching = peer.vouching
+        if generation < peer.generation:
             return -1
         if generation > vouching.generation:
             vouching.generation, vouching.version = generation, -1
         if version > vouching.version:
-            told = frozenset(names) & self.peers.keys()
-            vouching.version, vouching.vouched_for = version, vouching.vouched_for & told
-            vouching.unread = told - vouching.vouched_for
+            announced = frozenset(excluded) & self.peers.keys()
+            vouching.version, vouching.vouched_for = version, vouching.vouched_for & announced
+            vouching.unread = announced - vouching.vouched_for
         return vouching.version
 
     # Requests to peers
@@ -356,22 +359,22 @@
     def send_pending(self, now: int) -> bool:
         """Send all requests and exclusions that are due; return True if any is still unanswered."""
         is_pending = False
-        for name, other in self.peers.items():
-            is_pending |= self._send_learn_if_due(now, name, other) | self._send_exclusions_if_due(
-                now, name, other
+        for name, peer in self.peers.items():
+            is_pending |= self._send_learn_if_due(now, name, peer) | self._send_exclusions_if_due(
+                now, name, peer
             )
         return is_pending
 
-    def _send_learn_if_due(self, now: int, name: str, other: _Peer) -> bool:
-        learns = not other.process_ended and not self._votes_with(name, other)
-        pulls = bool(other.vouching.unread) and not other.unreachable
-        if not learns and not pulls:
+    def _send_learn_if_due(self, now: int, name: str, peer: _Peer) -> bool:
+        needs_report = not peer.process_ended and not self._votes_with(name, peer)
+        needs_grants = bool(peer.vouching.unread) and not peer.unreachable
+        if not needs_report and not needs_grants:
             return False
-        if other.read is None or now >= other.read.deadline:
-            version = other.vouching.version if pulls else -1
-            records = pulls or not self._knows_all
-            other.read = _PendingRead(0, 0, version=version, with_records=records)
-            self._send_learn_request(now, name, other.read, "" if records else NO_RECORDS)
+        if peer.read is None or now >= peer.read.deadline:
+            version = peer.vouching.version if needs_grants else -1
+            with_records = needs_grants or not self._knows_all
+            peer.read = _PendingRead(0, 0, version=version, with_records=with_records)
+            self._send_learn_request(now, name, peer.read, "" if with_records else NO_RECORDS)
         return True
 
     def _send_learn_request(self, now: int, name: str, read: _PendingRead, after: str) -> None:
@@ -379,32 +382,34 @@
         read.number, read.deadline = self._last_request, now + RESEND_INTERVAL_US
         self._emit(SendLearnRequest(name, after, read.number, read.deadline))
 
-    def _send_exclusions_if_due(self, now: int, name: str, other: _Peer) -> bool:
-        if other.unreachable or not other.generation:
+    def _send_exclusions_if_due(self, now: int, name: str, peer: _Peer) -> bool:
+        if peer.unreachable or not peer.generation:
             return False
-        wanted = self._select_excluded(name, other)
-        if wanted == other.excluded and (
-            wanted == other.acknowledged or not wanted and other.acknowledged is None
+        excluded = self._select_excluded(name, peer)
+        if excluded == peer.excluded and (
+            excluded == peer.acknowledged or not excluded and peer.acknowledged is None
         ):
             return False
-        if now >= other.resend_at:
-            other.version += 1
-            other.excluded |= wanted
-            other.sent, other.resend_at = (other.version, wanted), now + RESEND_INTERVAL_US
+        if now >= peer.resend_at:
+            peer.version += 1
+            peer.excluded |= excluded
+            peer.sent, peer.resend_at = (peer.version, excluded), now + RESEND_INTERVAL_US
             message = SendExclusions(
-                name, other.generation, tuple(sorted(wanted)), other.version, other.resend_at
+                name, peer.generation, tuple(sorted(excluded)), peer.version, peer.resend_at
+            )
+            self._save(
+                now, name, peer.excluded, lambda at, is_durable: self._emit(message) if is_durable else None
             )
-            self._save(now, name, other.excluded, lambda at, good: self._emit(message) if good else None)
         return True
 
-    def _select_excluded(self, name: str, other: _Peer) -> frozenset[str]:
+    def _select_excluded(self, name: str, peer: _Peer) -> frozenset[str]:
         """Return whom to exclude towards a reachable peer."""
         return frozenset(
             each
             for each in self._unreachable
             if each != name
             and (
-                each in other.excluded
+                each in peer.excluded
                 or (name not in self.peers[each].excluded and self.may_vote_with((name, each)))
             )
         )
--- a/mintmast/decisions/gateways/records.py
+++ b/mintmast/decisions/gateways/records.py
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """State recovered at a start; `faults` lists unreadable records."""
+    """State recovered at a start; `faults` lists malformed records."""
 
     generation: int = 0  # the latest one, 0 for none
     marked_complete: bool = False  # some generation knew all grants of itself and of those before it
@@ -163,7 +163,7 @@
 
 def recover_state(rows: Iterable[StoredRecord]) -> RecoveredState:
     """Decode stored records; a malformed one is listed in `faults`, never raised."""
-    found = RecoveredState()
+    state = RecoveredState()
     grants: dict[str, Grant] = {}
     intents: dict[str, Intent] = {}
     for row in rows:
@@ -175,35 +175,35 @@
                 continue
             match RecordKind(row.kind):
                 case RecordKind.GENERATION:
-                    found.generation = max(found.generation, msgspec.msgpack.decode(row.value, type=int))
+                    state.generation = max(state.generation, msgspec.msgpack.decode(row.value, type=int))
                 case RecordKind.COMPLETE:
-                    found.marked_complete = True
+                    state.marked_complete = True
                 case RecordKind.CLOCK:
-                    found.runtime = max(found.runtime, msgspec.msgpack.decode(row.value, type=int))
+                    state.runtime = max(state.runtime, msgspec.msgpack.decode(row.value, type=int))
                 case RecordKind.INTENT:
                     intents[row.key] = _INTENTS.decode(row.value)
                 case RecordKind.DRAIN:
-                    found.drains[row.key] = msgspec.msgpack.decode(row.value, type=int | None)
+                    state.drains[row.key] = msgspec.msgpack.decode(row.value, type=int | None)
                 case RecordKind.MEMBER:
-                    found.members[row.key] = msgspec.msgpack.decode(row.value, type=tuple[int, bool])
+                    state.members[row.key] = msgspec.msgpack.decode(row.value, type=tuple[int, bool])
                 case RecordKind.EXCLUSIONS:
                     names = msgspec.msgpack.decode(row.value, type=tuple[str, ...])
-                    found.exclusions[row.key] = frozenset(names)
+                    state.exclusions[row.key] = frozenset(names)
         except (msgspec.MsgspecError, ValueError) as error:
-            found.faults.append(f"{row.kind} {row.key[:64]}: {error}")
+            state.faults.append(f"{row.kind} {row.key[:64]}: {error}")
     for digest, grant in grants.items():
-        if grant.until > found.runtime:
+        if grant.until > state.runtime:
             record = ClaimRecord(grant.owner, grant.number, grant.released)
-            found.grants[digest] = record, grant.until - found.runtime
+            state.grants[digest] = record, grant.until - state.runtime
     for digest, intent in intents.items():
-        if intent.until > found.runtime:
-            found.intents[digest] = intent, intent.until - found.runtime
-    return found
+        if intent.until > state.runtime:
+            state.intents[digest] = intent, intent.until - state.runtime
+    return state
 
 
-def next_generation(wall_ms: int, before: int) -> int:
+def next_generation(wall_ms: int, latest: int) -> int:
     """Return a new generation: the wall clock's, but never one already used; both in ms since 1970."""
-    return max(wall_ms, before + 1)
+    return max(wall_ms, latest + 1)
 
 
 class RecordWriter:
@@ -216,9 +216,14 @@
         self._last_token = 0
         self._callbacks: dict[int, Callable[[int, bool], None]] = {}
 
-    def start(self, now: int, ran: int) -> None:
-        """Start writing, after earlier generations ran for `ran` µs."""
-        self.enabled, self._started_at, self._earlier_runtime, self._clock_saved_at = True, now, ran, ran
+    def start(self, now: int, earlier_runtime: int) -> None:
+        """Start writing, after earlier generations ran for `earlier_runtime` µs."""
+        self.enabled, self._started_at, self._earlier_runtime, self._clock_saved_at = (
+            True,
+            now,
+            earlier_runtime,
+            earlier_runtime,
+        )
 
     def runtime(self, now: int) -> int:
         """Return the total runtime in µs of the processes of this name."""
@@ -230,16 +235,16 @@
         kind: RecordKind,
         key: str,
         value: object,
-        then: Callable[[int, bool], None] | None = None,
+        on_done: Callable[[int, bool], None] | None = None,
         delete: bool | None = None,
     ) -> None:
-        """Write or delete a record; `then(now, is_durable)` is called once that is durable or may be lost.
+        """Write or delete a record; `on_done(now, is_durable)` is called when that is durable or may be lost.
 
         A value of None deletes the record, unless `delete` says otherwise.
         """
         if not self.enabled:
-            if then is not None:
-                then(now, True)
+            if on_done is not None:
+                on_done(now, True)
             return
         delete = value is None if delete is None else delete
         records = [StoredRecord(kind.value, key, None if delete else msgspec.msgpack.encode(value))]
@@ -247,14 +252,14 @@
             self._clock_saved_at = self.runtime(now)
             records.append(encode_record(RecordKind.CLOCK, "", self._clock_saved_at))
         token = 0
-        if then is not None:
+        if on_done is not None:
             self._last_token += 1
             token = self._last_token
-            self._callbacks[token] = then
+            self._callbacks[token] = on_done
         self._emit(WriteRecords(tuple(records), token))
 
     def handle_written(self, now: int, event: RecordsWritten) -> None:
         """Call back whoever waits for this write."""
-        then = self._callbacks.pop(event.token, None)
-        if then is not None:
-            then(now, event.is_durable)
+        on_done = self._callbacks.pop(event.token, None)
+        if on_done is not None:
+            on_done(now, event.is_durable)
--- a/mintmast/decisions/gateways/witness.py
+++ b/mintmast/decisions/gateways/witness.py
@@ -113,7 +113,7 @@
 
 
 class WitnessRecords:
-    """Records of one gateway as a witness; an `owner` is a gateway and its generation, `keep` is in µs."""
+    """Records of one gateway as a witness; an `owner` is a gateway and its generation, times are in µs."""
 
     def __init__(self) -> None:
         self._records: dict[str, ClaimRecord] = {}
@@ -123,15 +123,15 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def vote(self, now: int, digest: str, owner: str, number: int, keep: int) -> Vote:
+    def vote(self, now: int, digest: str, owner: str, number: int, retention: int) -> Vote:
         """Record a claim and return the vote on it."""
         self._expire_some(now)
         record = self._records.get(digest, ClaimRecord())
         if digest not in self._records and len(self._records) >= MAX_RECORDS:
             return Vote.NONE
-        record, told = vote_on_claim(record, owner, number)
-        self._store(digest, record, now + min(keep, MAX_SESSION_US + RECORD_RETENTION_US))
-        return told
+        record, vote = vote_on_claim(record, owner, number)
+        self._store(digest, record, now + min(retention, MAX_SESSION_US + RECORD_RETENTION_US))
+        return vote
 
     def release(self, now: int, digest: str, owner: str, number: int) -> None:
         """Record a release."""
@@ -143,32 +143,32 @@
                 now + RECORD_RETENTION_US,
             )
 
-    def merge_known(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
+    def merge_known(self, now: int, digest: str, owner: str, number: int, retention: int) -> None:
         """Merge a claim that another gateway reported; releases received since then still hold."""
         record = merge_known_claim(self._records.get(digest, ClaimRecord()), owner, number)
-        self._store(digest, record, now + min(keep, MAX_SESSION_US + RECORD_RETENTION_US))
+        self._store(digest, record, now + min(retention, MAX_SESSION_US + RECORD_RETENTION_US))
 
     def get(self, digest: str) -> tuple[ClaimRecord, int]:
         """Return the record of a key and when it expires (µs)."""
         return self._records.get(digest, ClaimRecord()), self._expires_at.get(digest, 0)
 
-    def restore(self, now: int, digest: str, record: ClaimRecord, keep: int) -> None:
-        """Restore a record of an earlier generation, to be kept for another `keep` µs."""
-        self._store(digest, record, now + keep)
+    def restore(self, now: int, digest: str, record: ClaimRecord, retention: int) -> None:
+        """Restore a record of an earlier generation, to be kept for another `retention` µs."""
+        self._store(digest, record, now + retention)
 
-    def list_grants(self, now: int, after: str, wanted: Callable[[str], bool]) -> list[KnownClaim]:
+    def list_grants(self, now: int, after: str, is_wanted: Callable[[str], bool]) -> list[KnownClaim]:
         """Return granted and wanted records after a digest, in order, at most `RECORDS_PER_PAGE`."""
-        rest = sorted(each for each, record in self._records.items() if each > after and record.owner)
-        found = islice(filter(wanted, rest), RECORDS_PER_PAGE)
+        candidates = sorted(each for each, record in self._records.items() if each > after and record.owner)
+        page = islice(filter(is_wanted, candidates), RECORDS_PER_PAGE)
         return [
             (each, self._records[each].owner, self._records[each].number, self._expires_at[each] - now)
-            for each in found
+            for each in page
         ]
 
-    def _store(self, digest: str, record: ClaimRecord, until: int) -> None:
+    def _store(self, digest: str, record: ClaimRecord, expires_at: int) -> None:
         self._records[digest] = record
-        until = max(until, self._expires_at.pop(digest, 0))
-        self._expires_at[digest] = until  # re-inserted last, so that the order is roughly that of expiry
+        expires_at = max(expires_at, self._expires_at.pop(digest, 0))
+        self._expires_at[digest] = expires_at  # re-inserted last, so that the order is roughly that of expiry
 
     def _expire_some(self, now: int) -> None:
         """Drop expired records, a few per call, as records are added one at a time."""
--- a/mintmast/decisions/gateways/witness_service.py
+++ b/mintmast/decisions/gateways/witness_service.py
@@ -29,8 +29,8 @@
 CLAIM_TIMEOUT_US = SECOND // 4
 # µs between reviews of the pending messages to other gateways
 REVIEW_INTERVAL_US = SECOND
-# above ALL_AT_ONCE members reviews are paced, by PAIR_TIME µs for each pair of gateways: a review goes over
-# all pairs at about 1 µs each, and each message of hundreds of gateways that start together triggers one
+# above MAX_UNPACED_MEMBERS reviews are paced, with REVIEW_US_PER_PAIR µs for each pair of gateways: a review
+# goes over all pairs at about 1 µs each, and hundreds of gateways that start together trigger one per message
 REVIEW_US_PER_PAIR, MAX_UNPACED_MEMBERS = 4, 32
 
 Names = tuple[str, ...]
@@ -39,7 +39,7 @@
 class WitnessService:
     """Witness service of one gateway.
 
-    `own(now)` returns the keys that the gateway owns itself; `emit` receives commands.
+    `owned_claims(now)` returns the keys that the gateway owns itself; `emit` receives commands.
     """
 
     def __init__(
@@ -59,11 +59,10 @@
         self.disqualified_reason = ""
         self._marked_complete = False  # the records on disk are marked as complete
         self._timer_at = self._next_review_at = 0
-        few = len(members) <= MAX_UNPACED_MEMBERS
-        self._review_interval = 0 if few else REVIEW_US_PER_PAIR * len(members) ** 2  # µs between reviews
-        self._claims_settle_at = (
-            0  # µs; until then claims of a generation missing from the records may be pending
-        )
+        is_unpaced = len(members) <= MAX_UNPACED_MEMBERS
+        self._review_interval = 0 if is_unpaced else REVIEW_US_PER_PAIR * len(members) ** 2  # µs
+        # µs; until then claims of a generation missing from the records may be pending
+        self._claims_settle_at = 0
         self._logged_state: tuple[bool, list[str]] | None = None
 
     @property
@@ -81,68 +80,74 @@
         digest: str,
         owner: str,
         number: int,
-        keep: int,
-        then: Callable[[int, Vote, Names], None],
+        retention: int,
+        on_done: Callable[[int, Vote, Names], None],
     ) -> None:
-        """Vote on a claim; `then(now, vote, excluded witnesses)` is called once the vote is durable."""
+        """Vote on a claim; `on_done(now, vote, excluded witnesses)` is called once the vote is durable."""
         witnesses = self._selector.select(digest)
-        others = tuple(each for each in witnesses if each != self._gateway)
+        co_witnesses = tuple(each for each in witnesses if each != self._gateway)
         if (
             self.disqualified_reason
             or self._gateway not in witnesses
-            or not self.exclusions.may_vote_with(others)
+            or not self.exclusions.may_vote_with(co_witnesses)
         ):
-            then(now, Vote.NONE, ())
+            on_done(now, Vote.NONE, ())
             return
-        without = self.exclusions.excluded_among(others)
-        told = self.records.vote(now, digest, owner, number, keep)
-        if told is not Vote.GRANTED:
-            then(now, told, ())
+        excluded = self.exclusions.excluded_among(co_witnesses)
+        vote = self.records.vote(now, digest, owner, number, retention)
+        if vote is not Vote.GRANTED:
+            on_done(now, vote, ())
             return
-        self._save(now, digest, lambda at, good: then(at, told if good else Vote.NONE, without))
+        self._save(
+            now, digest, lambda at, is_durable: on_done(at, vote if is_durable else Vote.NONE, excluded)
+        )
 
     def release(self, now: int, digest: str, owner: str, number: int) -> None:
         """Record a release."""
         self.records.release(now, digest, owner, number)
         self._save(now, digest)
 
-    def start(self, now: int, kept: RecoveredState | None = None) -> None:
+    def start(self, now: int, recovered: RecoveredState | None = None) -> None:
         """Start with the records of earlier generations, or without any if there is no store."""
-        if kept is not None:
-            self.record_writer.start(now, kept.runtime)
+        if recovered is not None:
+            self.record_writer.start(now, recovered.runtime)
         if not self._members:
             return
         wait = 2 * CLAIM_TIMEOUT_US
-        if kept is not None:
-            for name, (start, _) in kept.members.items():
+        if recovered is not None:
+            for name, (generation, _) in recovered.members.items():
                 if name in self.exclusions.peers:
-                    self.exclusions.note_generation(name, start)
-            for digest, (record, keep) in kept.grants.items():
-                self.records.restore(now, digest, record, keep)
-            if kept.is_complete:
-                self.exclusions.restore(kept.generation, kept.exclusions)
+                    self.exclusions.note_generation(name, generation)
+            for digest, (record, retention) in recovered.grants.items():
+                self.records.restore(now, digest, record, retention)
+            if recovered.is_complete:
+                self.exclusions.restore(recovered.generation, recovered.exclusions)
                 self._marked_complete, wait = True, 0
-            for fault in kept.faults[:10]:
+            for fault in recovered.faults[:10]:
                 self._emit(LogEvent("record_doubtful", (("fault", fault),)))
-            told = (("life", kept.generation), ("records", len(kept.grants)), ("whole", kept.is_complete))
-            self._emit(LogEvent("recovered", told))
+            fields = (
+                ("life", recovered.generation),
+                ("records", len(recovered.grants)),
+                ("whole", recovered.is_complete),
+            )
+            self._emit(LogEvent("recovered", fields))
         self._emit(ScheduleTimer(now + wait, ("learn",)))
 
-    def _save(self, now: int, digest: str, then: Callable[[int, bool], None] | None = None) -> None:
+    def _save(self, now: int, digest: str, on_done: Callable[[int, bool], None] | None = None) -> None:
         """Save the witness's record of a key and delete those that expired."""
-        gone, self.records.expired = self.records.expired, []
-        for each in gone:
+        expired, self.records.expired = self.records.expired, []
+        for each in expired:
             self.record_writer.save(now, RecordKind.GRANT, each, None)
-        record, until = self.records.get(digest)
+        record, expires_at = self.records.get(digest)
         if self.record_writer.enabled:
-            until += self.record_writer.runtime(now) - now
-        value = Grant(record.owner, record.number, until, record.released)
-        self.record_writer.save(now, RecordKind.GRANT, digest, value, then)
+            expires_at += self.record_writer.runtime(now) - now
+        value = Grant(record.owner, record.number, expires_at, record.released)
+        self.record_writer.save(now, RecordKind.GRANT, digest, value, on_done)
 
     def _save_exclusions(
-        self, now: int, name: str, names: frozenset[str], then: Callable[[int, bool], None]
+        self, now: int, name: str, excluded: frozenset[str], on_done: Callable[[int, bool], None]
     ) -> None:
-        self.record_writer.save(now, RecordKind.EXCLUSIONS, name, tuple(sorted(names)), then)
+        self.record_writer.save(now, RecordKind.EXCLUSIONS, name, tuple(sorted(excluded)), on_done)
 
     def handle_review_timer(self, now: int) -> None:
         """Run a scheduled review, the first one once claims pending at the start are decided."""
@@ -170,14 +175,14 @@
             return
         if self.exclusions.send_pending(now):
             self._schedule_review(now + REVIEW_INTERVAL_US)
-        told = self.exclusions.is_voting, self.exclusions.awaited_peers()
+        state = self.exclusions.is_voting, self.exclusions.awaited_peers()
         if not self._marked_complete and self.exclusions.knows_all_grants:
             self._marked_complete = True
             self.record_writer.save(now, RecordKind.COMPLETE, "", self._generation)
-        if told != self._logged_state:
-            self._logged_state = told
-            name = "witness_votes" if told[0] else "witness_waits"
-            self._emit(LogEvent(name, (("records", len(self.records)), ("waits_for", told[1]))))
+        if state != self._logged_state:
+            self._logged_state = state
+            event = "witness_votes" if state[0] else "witness_waits"
+            self._emit(LogEvent(event, (("records", len(self.records)), ("waits_for", state[1]))))
 
     def _schedule_review(self, at: int) -> None:
         """Schedule a review for `at` (µs) or earlier."""
@@ -187,9 +192,9 @@
 
     def handle_learn_reply(self, now: int, event: LearnReply) -> None:
         """Merge the claims that another gateway reported."""
-        for digest, owner, number, keep in event.records:
+        for digest, owner, number, retention in event.records:
             if self._gateway in self._selector.select(digest):
-                self.records.merge_known(now, digest, owner, number, keep)
+                self.records.merge_known(now, digest, owner, number, retention)
                 self._save(now, digest)
         self.exclusions.handle_learn_reply(now, event)
         self._review(now)
@@ -215,51 +220,63 @@
 
     def handle_call(self, now: int, event: PeerCall) -> None:
         """Answer a call of another gateway."""
-        name, _, start = event.owner.partition("/")
+        name, _, generation = event.owner.partition("/")
         if self.disqualified_reason and not event.release:
             self._emit(PeerReply(event.call_id, answered=False))
         elif event.learn_after is not None or event.excluded is not None:
-            self._emit(self._answer_peer(now, event, name, start))
+            self._emit(self._answer_peer(now, event, name, generation))
         elif event.release:
             self.release(now, event.digest, event.owner, event.number)
             self._emit(PeerReply(event.call_id))
         else:
 
-            def told(at: int, vote: Vote, without: Names) -> None:
-                self._emit(PeerReply(event.call_id, vote, excluded=without))
+            def reply(at: int, vote: Vote, excluded: Names) -> None:
+                self._emit(PeerReply(event.call_id, vote, excluded=excluded))
 
-            self.vote(now, event.digest, event.owner, event.number, event.retention, told)
+            self.vote(now, event.digest, event.owner, event.number, event.retention, reply)
 
-    def _answer_peer(self, now: int, event: PeerCall, name: str, start: str) -> PeerReply:
+    def _answer_peer(self, now: int, event: PeerCall, name: str, generation_text: str) -> PeerReply:
         try:
-            number = int(start, 16)
+            generation = int(generation_text, 16)
         except ValueError:
             return PeerReply(event.call_id)
         if name not in self.exclusions.peers:
             return PeerReply(event.call_id)
-        self.exclusions.note_generation(name, number)
+        self.exclusions.note_generation(name, generation)
         if event.excluded is not None:
-            mine = event.to_generation == self._generation
-            booked = (
-                self.exclusions.record_exclusions(name, number, event.version, event.excluded) if mine else -1
+            is_for_this_process = event.to_generation == self._generation
+            recorded_version = (
+                self.exclusions.record_exclusions(name, generation, event.version, event.excluded)
+                if is_for_this_process
+                else -1
             )
             self._review(now)
-            return PeerReply(event.call_id, version=booked)
+            return PeerReply(event.call_id, version=recorded_version)
         records = self._list_known_claims(now, name, event.learn_after or "")
-        unready, covered = self.exclusions.describe_for(name)
+        not_voting_with, vouched_for = self.exclusions.describe_for(name)
         more = len(records) >= RECORDS_PER_PAGE
         self._review(now)
-        before = self.exclusions.peers[name].previous_generation
-        return PeerReply(event.call_id, Vote.NONE, tuple(records), more, (), unready, covered, -1, before)
+        previous_generation = self.exclusions.peers[name].previous_generation
+        return PeerReply(
+            event.call_id,
+            Vote.NONE,
+            tuple(records),
+            more,
+            (),
+            not_voting_with,
+            vouched_for,
+            -1,
+            previous_generation,
+        )
 
     def _list_known_claims(self, now: int, asker: str, after: str) -> list[KnownClaim]:
         """Return claims owned or granted by this gateway on keys the asker witnesses, ordered by digest."""
 
-        def wanted(digest: str) -> bool:
+        def is_wanted(digest: str) -> bool:
             return asker in self._selector.select(digest)
 
-        known = {each[0]: each for each in self.records.list_grants(now, after, wanted)}
-        mine = self._owned_claims(now)
-        for digest in sorted(each for each in mine if each > after and wanted(each))[:RECORDS_PER_PAGE]:
-            known[digest] = mine[digest]
+        known = {each[0]: each for each in self.records.list_grants(now, after, is_wanted)}
+        owned = self._owned_claims(now)
+        for digest in sorted(each for each in owned if each > after and is_wanted(each))[:RECORDS_PER_PAGE]:
+            known[digest] = owned[digest]
         return [known[each] for each in sorted(known)[:RECORDS_PER_PAGE]]
--- a/mintmast/decisions/hosts/drains.py
+++ b/mintmast/decisions/hosts/drains.py
@@ -13,9 +13,8 @@
     """Drain orders of one gateway."""
 
     def __init__(self) -> None:
-        self.deadlines: dict[
-            bytes, int | None
-        ] = {}  # by host: when it must be empty (µs), None if unspecified
+        # by host: when it must be empty (µs), None if unspecified
+        self.deadlines: dict[bytes, int | None] = {}
 
     def handle(self, now: int, event: DrainOrdered) -> None:
         """Record an order or its revocation."""
--- a/mintmast/decisions/hosts/host_state.py
+++ b/mintmast/decisions/hosts/host_state.py
@@ -48,10 +48,10 @@
 
     def handle_list(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
         """Apply entries of the list, all of them if `whole`, else the changed ones."""
-        named = {entry.server for entry in entries}
+        listed = {entry.server for entry in entries}
         if whole:
             for server, host in self.hosts.items():
-                if server not in named:
+                if server not in listed:
                     host.listed = replace(host.listed, state=ServerState.GONE)
         for entry in entries:
             host = self.hosts.get(entry.server)
@@ -59,25 +59,25 @@
                 self.hosts[entry.server] = HostState(entry, drain_ordered=entry.server in self.drain_orders)
             else:
                 host.listed = entry
-        return self._changed_entries(self.hosts if whole else named)
+        return self._changed_entries(self.hosts if whole else listed)
 
     def handle_hello(
-        self, now: int, server: bytes, process: str, age: int | None, drains: bool
+        self, now: int, server: bytes, process: str, age: int | None, is_draining: bool
     ) -> tuple[list[ListEntry], bool]:
         """Apply the first report on a new connection; also return whether the host's process changed."""
         host = self.hosts.get(server)
         if host is None:
             return [], False
-        other = bool(host.process) and process != host.process
-        host.failed_attempts, host.process, host.is_draining = 0, process, drains
-        if other or not host.started_at:
+        process_changed = bool(host.process) and process != host.process
+        host.failed_attempts, host.process, host.is_draining = 0, process, is_draining
+        if process_changed or not host.started_at:
             host.started_at = 0 if age is None else max(1, now - max(0, age))
         host.first_retry_at = 0
         host.refuses_connections = False
-        return self._changed_entries([server]), other
+        return self._changed_entries([server]), process_changed
 
     def handle_connection_lost(
-        self, now: int, server: bytes, draw: float, refused: bool
+        self, now: int, server: bytes, draw: float, was_refused: bool
     ) -> tuple[list[ListEntry], int]:
         """Record a lost connection or a failed attempt; also return when to retry (µs).
 
@@ -86,28 +86,28 @@
         host = self.hosts.get(server)
         if host is None:
             return [], now + RETRY_MAX_US
-        wait = min(RETRY_MAX_US, RETRY_INITIAL_US << min(host.failed_attempts, 10))
-        wait = int(wait * (0.5 + draw / 2))
-        host.first_retry_at = host.first_retry_at or now + wait
-        host.refuses_connections = refused
+        backoff = min(RETRY_MAX_US, RETRY_INITIAL_US << min(host.failed_attempts, 10))
+        backoff = int(backoff * (0.5 + draw / 2))
+        host.first_retry_at = host.first_retry_at or now + backoff
+        host.refuses_connections = was_refused
         host.failed_attempts += 1
-        return self._changed_entries([server]), now + wait
+        return self._changed_entries([server]), now + backoff
 
-    def handle_drain(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain(self, server: bytes, is_draining: bool) -> list[ListEntry]:
         """Apply a host's report that it drains or no longer drains."""
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.is_draining = drains
+        host.is_draining = is_draining
         return self._changed_entries([server])
 
-    def handle_drain_order(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain_order(self, server: bytes, is_ordered: bool) -> list[ListEntry]:
         """Apply an operator's order to drain a host, or its revocation."""
-        (self.drain_orders.add if drains else self.drain_orders.discard)(server)
+        (self.drain_orders.add if is_ordered else self.drain_orders.discard)(server)
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.drain_ordered = drains
+        host.drain_ordered = is_ordered
         return self._changed_entries([server])
 
     def effective_entry(self, host: HostState) -> ListEntry:
--- a/mintmast/decisions/hosts/merging.py
+++ b/mintmast/decisions/hosts/merging.py
@@ -84,10 +84,10 @@
         self.sources[name].fault = fault
         return self._merge(now)
 
-    def set_refusing(self, now: int, server: bytes, refuses: bool) -> list[ListEntry]:
+    def set_refusing(self, now: int, server: bytes, is_refusing: bool) -> list[ListEntry]:
         """Record that a host refuses connections, or accepts them again."""
         self.notes = []
-        (self.refusing.add if refuses else self.refusing.discard)(server)
+        (self.refusing.add if is_refusing else self.refusing.discard)(server)
         return self.tick(now)
 
     def tick(self, now: int) -> list[ListEntry]:
@@ -125,13 +125,13 @@
         merged: dict[bytes, ListEntry] = {}
         for source in self.sources.values():
             for server, entry in (source.entries or {}).items():
-                first = merged.get(server)
-                if first is None:
+                known = merged.get(server)
+                if known is None:
                     merged[server] = entry
                     continue
-                started = max(first.started, entry.started)
-                state = first.state if first.state is not ServerState.READY else entry.state
-                merged[server] = replace(first, state=state, started=started)
+                started = max(known.started, entry.started)
+                state = known.state if known.state is not ServerState.READY else entry.state
+                merged[server] = replace(known, state=state, started=started)
         changed = []
         for server, old in self.merged.items():
             if server not in merged:
--- a/mintmast/decisions/hosts/registry.py
+++ b/mintmast/decisions/hosts/registry.py
@@ -53,13 +53,13 @@
 
 def build_list_entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
     """Return the list entries of an app; of two instances on one address the later started one counts."""
-    best: dict[str, Instance] = {}
+    by_address: dict[str, Instance] = {}
     for each in instances:
         if each.app.upper() != app.upper():
             continue
-        other = best.get(each.address)
-        if other is None or (each.started, each.status == "UP") > (other.started, other.status == "UP"):
-            best[each.address] = each
+        known = by_address.get(each.address)
+        if known is None or (each.started, each.status == "UP") > (known.started, known.status == "UP"):
+            by_address[each.address] = each
     return tuple(
         ListEntry(
             address.encode(),
@@ -70,7 +70,7 @@
             each.kind,
             each.weight,
         )
-        for address, each in sorted(best.items())
+        for address, each in sorted(by_address.items())
     )
 
 
@@ -102,24 +102,24 @@
 
     def apply_full(self, instances: Iterable[Instance]) -> bool:
         """Apply a full read; return whether anything changed."""
-        new = {(each.app, each.id): each for each in instances}
-        changed, self.instances = new != self.instances or not self.has_base, new
+        updated = {(each.app, each.id): each for each in instances}
+        changed, self.instances = updated != self.instances or not self.has_base, updated
         self.has_base, self.failures = True, 0
         return changed
 
-    def apply_delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
+    def apply_delta(self, changes: Iterable[tuple[str, Instance]], expected_hashcode: str) -> bool | None:
         """Apply changes (action, instance); return whether any was made, None if a full read is needed."""
-        new = dict(self.instances)
+        updated = dict(self.instances)
         for action, each in changes:
             if action == "DELETED":
-                new.pop((each.app, each.id), None)
+                updated.pop((each.app, each.id), None)
             else:
-                new[each.app, each.id] = each
+                updated[each.app, each.id] = each
         self.failures = 0
-        if told != compute_hashcode(new.values()):
+        if expected_hashcode != compute_hashcode(updated.values()):
             self.has_base = False
             return None
-        changed, self.instances = new != self.instances, new
+        changed, self.instances = updated != self.instances, updated
         return changed
 
     def handle_failure(self) -> None:
--- a/mintmast/peers/transport.py
+++ b/mintmast/peers/transport.py
@@ -34,9 +34,9 @@
     PullFailed,
     PullRevisions,
     PullSucceeded,
+    RevisionReply,
     RevisionRequest,
 )
-from mintmast.decisions.gateways.revision_types import RevisionReply as Revised
 from mintmast.http.client import Address, CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
 from mintmast.loop import Loop
@@ -80,14 +80,14 @@
     covered: tuple[str, ...] = ()
     version: int = -1
     before: int = 0
-    revisions: Revised | None = None
+    revisions: RevisionReply | None = None
 
 
 class PeerTransport:
     """Client and server of the calls between this gateway and the others.
 
     `members` maps the names of all gateways to addresses. The first of `secrets` signs, all of them verify.
-    `skew` is the maximum difference in seconds between a call's time and the local clock.
+    `max_skew` is the maximum difference in seconds between a call's time and the local clock.
     """
 
     def __init__(
@@ -97,18 +97,18 @@
         generation: int,
         members: dict[str, Address],
         secrets: list[str],
-        skew: float,
+        max_skew: float,
         events: PeerEvents,
         listen: Address,
     ) -> None:
-        self._loop, self._gateway, self._members, self._skew = loop, gateway, members, skew
+        self._loop, self._gateway, self._members, self._max_skew = loop, gateway, members, max_skew
         self._generation, self._owner = generation, f"{gateway}/{generation:x}"
         self._secrets = [each.encode() for each in secrets]
         self._members_digest = hashlib.blake2b(" ".join(sorted(members)).encode(), digest_size=8).hexdigest()
         self._events = events
-        self.answer_gossip: Callable[[bytes], bytes | None] | None = None  # answers gossip messages
-        # answers requests for revisions; None if the settings have no `configuration`
-        self.answer_revisions: Callable[[RevisionRequest], Revised | None] | None = None
+        self.answer_gossip: Callable[[bytes], bytes | None] | None = None
+        # None if the settings have no `configuration`
+        self.answer_revisions: Callable[[RevisionRequest], RevisionReply | None] | None = None
         self._in_flight: dict[str | Address, int] = dict.fromkeys(members, 0)
         self._client = HttpClient(
             loop, ClientLimits(idle_per_address=32, body_bytes=1 << 20), f"mintmast/{gateway}"
@@ -123,87 +123,88 @@
     def send_claim(self, call: SendClaim) -> None:
         """Send a claim to a witness; the vote is reported exactly once, after this returns."""
 
-        def done(answer: ReplyBody | None) -> None:
-            told = ReplyBody() if answer is None else answer
+        def finish(reply: ReplyBody | None) -> None:
+            body = ReplyBody() if reply is None else reply
             self._events.handle_reply(
-                VoteReceived(call.peer, call.number, Vote(told.vote), told.without, told.start)
+                VoteReceived(call.peer, call.number, Vote(body.vote), body.without, body.start)
             )
 
         body = self._body(digest=call.digest, number=call.number, keep_ms=call.retention // 1000)
-        self._call(call.peer, body, call.deadline, done)
+        self._call(call.peer, body, call.deadline, finish)
 
     def send_release(self, call: SendRelease) -> None:
         """Send the release of a claim."""
         body = self._body(digest=call.digest, number=call.number, release=True)
         body.owner = call.owner or self._owner
-        self._call(call.peer, body, call.deadline, lambda answer: None)
+        self._call(call.peer, body, call.deadline, lambda reply: None)
 
     def send_learn_request(self, call: SendLearnRequest) -> None:
         """Request the claims that another gateway knows; the reply is reported exactly once."""
 
-        def done(answer: ReplyBody | None) -> None:
-            if answer is None:
+        def finish(reply: ReplyBody | None) -> None:
+            if reply is None:
                 self._events.handle_reply(LearnReply(call.peer, answered=False, number=call.number))
                 return
             records = tuple(
-                (digest, owner, number, keep * 1000) for digest, owner, number, keep in answer.records
+                (digest, owner, number, retention * 1000)
+                for digest, owner, number, retention in reply.records
             )
-            more = answer.more and bool(records)
-            about = answer.start, answer.unready, answer.covered, answer.before
-            self._events.handle_reply(LearnReply(call.peer, records, more, True, call.number, *about))
+            more = reply.more and bool(records)
+            fields = reply.start, reply.unready, reply.covered, reply.before
+            self._events.handle_reply(LearnReply(call.peer, records, more, True, call.number, *fields))
 
-        self._call(call.peer, self._body(learn=call.after), call.deadline, done)
+        self._call(call.peer, self._body(learn=call.after), call.deadline, finish)
 
     def send_exclusions(self, call: SendExclusions) -> None:
         """Send exclusions to another gateway; the acknowledgement or its absence is reported exactly once."""
 
-        def done(answer: ReplyBody | None) -> None:
+        def finish(reply: ReplyBody | None) -> None:
             self._events.handle_reply(
-                ExclusionsAcknowledged(call.peer, -1 if answer is None else answer.version)
+                ExclusionsAcknowledged(call.peer, -1 if reply is None else reply.version)
             )
 
         body = self._body(aside=call.excluded, version=call.version, to=call.to_generation)
-        self._call(call.peer, body, call.deadline, done)
+        self._call(call.peer, body, call.deadline, finish)
 
     def request_revisions(
-        self, place: str | Address, call: PullRevisions, take: Callable[[PullSucceeded | PullFailed], None]
+        self, peer: str | Address, call: PullRevisions, on_reply: Callable[[PullSucceeded | PullFailed], None]
     ) -> None:
-        """Request revisions from a gateway, given by name or address; calls `take` once, after this returns.
+        """Request revisions from a gateway, by name or address; `on_reply` is called once, later.
 
         The call carries no digest of the members: configuration must reach gateways whose lists differ.
         """
 
-        def done(answer: ReplyBody | None) -> None:
-            told = None if answer is None else answer.revisions
-            take(PullFailed(call.call) if told is None else PullSucceeded(call.call, told))
+        def finish(reply: ReplyBody | None) -> None:
+            revisions = None if reply is None else reply.revisions
+            on_reply(PullFailed(call.call) if revisions is None else PullSucceeded(call.call, revisions))
 
-        if isinstance(place, str) and place not in self._members:
-            self._loop.call_soon(done, None)
+        if isinstance(peer, str) and peer not in self._members:
+            self._loop.call_soon(finish, None)
             return
         self._call(
-            place, CallBody(self._owner, self._loop.wall(), "", revisions=call.request), call.deadline, done
+            peer, CallBody(self._owner, self._loop.wall(), "", revisions=call.request), call.deadline, finish
         )
 
     def _body(self, **more: Any) -> CallBody:
         return CallBody(self._owner, self._loop.wall(), self._members_digest, **more)
 
     def _call(
-        self, peer: str | Address, body: CallBody, until: int, done: Callable[[ReplyBody | None], None]
+        self, peer: str | Address, body: CallBody, deadline: int, on_reply: Callable[[ReplyBody | None], None]
     ) -> None:
         address = self._members[peer] if isinstance(peer, str) else peer
         if self._in_flight.setdefault(peer, 0) >= MAX_CALLS_PER_PEER:
-            self._loop.call_soon(done, None)
+            self._loop.call_soon(on_reply, None)
             return
         self._in_flight[peer] += 1
         data = msgspec.json.encode(body)
         mac = self._compute_mac(self._secrets[0], data)
 
-        def ended(reply: Reply | CallFailure) -> None:
+        def finish(reply: Reply | CallFailure) -> None:
             self._in_flight[peer] -= 1
-            done(self._decode_reply(reply, mac))
+            on_reply(self._decode_reply(reply, mac))
 
         headers = [("Content-Type", "application/json"), (MAC_HEADER, mac)]
-        self._client.call(address, "POST", PATH, ended, headers, data, until)
+        self._client.call(address, "POST", PATH, finish, headers, data, deadline)
 
     def _decode_reply(self, reply: Reply | CallFailure, mac: str) -> ReplyBody | None:
         if isinstance(reply, CallFailure) or reply.status != 200:
@@ -211,20 +212,20 @@
         if not self._is_authentic(reply.headers.get(MAC_HEADER, ""), mac.encode() + reply.body):
             return None
         try:
-            answer = msgspec.json.decode(reply.body, type=ReplyBody)
-            Vote(answer.vote)
+            body = msgspec.json.decode(reply.body, type=ReplyBody)
+            Vote(body.vote)
         except (msgspec.DecodeError, ValueError, RecursionError):
             return None
-        return answer
+        return body
 
     @staticmethod
     def _compute_mac(secret: bytes, data: bytes) -> str:
         return hmac.new(secret, data, hashlib.sha256).hexdigest()
 
-    def _is_authentic(self, shown: str, data: bytes) -> bool:
-        told = shown.encode("utf-8", "replace")
+    def _is_authentic(self, mac: str, data: bytes) -> bool:
+        mac_bytes = mac.encode("utf-8", "replace")
         return any(
-            hmac.compare_digest(self._compute_mac(each, data).encode(), told) for each in self._secrets
+            hmac.compare_digest(self._compute_mac(each, data).encode(), mac_bytes) for each in self._secrets
         )
 
     # Server
@@ -235,11 +236,11 @@
             and exchange.method == "POST"
             and self.answer_gossip is not None
         ):
-            told = self.answer_gossip(exchange.body)
-            if told is None:
+            reply = self.answer_gossip(exchange.body)
+            if reply is None:
                 exchange.respond_problem(401, "gossip message is not authentic or expects no reply")
             else:
-                exchange.respond(200, [("Content-Type", "application/octet-stream")], told)
+                exchange.respond(200, [("Content-Type", "application/octet-stream")], reply)
             return
         if exchange.path != PATH or exchange.method != "POST":
             exchange.respond_problem(404, "no such path")
@@ -253,7 +254,7 @@
         except (msgspec.DecodeError, RecursionError) as error:
             exchange.respond_problem(400, f"call body is invalid: {error}")
             return
-        if abs(body.at - self._loop.wall()) > self._skew:
+        if abs(body.at - self._loop.wall()) > self._max_skew:
             exchange.respond_problem(401, "call is too old, or clocks differ too much")
         elif body.revisions is not None:
             self._respond_revisions(exchange, body.revisions, mac)
@@ -262,39 +263,41 @@
         elif body.learn is None and body.aside is None and not body.digest:
             exchange.respond_problem(400, "claim has no digest")
         else:
-            keep = max(0, body.keep_ms) * 1000
+            retention = max(0, body.keep_ms) * 1000
             digest, number = body.digest[:64], body.number
-            aside = body.aside, body.version, body.to
-            call = PeerCall(0, body.owner, digest, number, keep, body.release, body.learn, *aside)
-            self._events.handle_call(call, lambda told: self._respond(exchange, told, mac))
+            exclusions = body.aside, body.version, body.to
+            call = PeerCall(0, body.owner, digest, number, retention, body.release, body.learn, *exclusions)
+            self._events.handle_call(call, lambda reply: self._respond(exchange, reply, mac))
 
-    def _respond(self, exchange: Exchange, told: PeerReply, mac: str) -> None:
-        if not told.answered:
+    def _respond(self, exchange: Exchange, reply: PeerReply, mac: str) -> None:
+        if not reply.answered:
             exchange.respond_problem(503, "this process must no longer act under its name")
             return
-        records = tuple((digest, owner, number, keep // 1000) for digest, owner, number, keep in told.records)
-        more = (
-            told.more,
-            told.excluded,
+        records = tuple(
+            (digest, owner, number, retention // 1000) for digest, owner, number, retention in reply.records
+        )
+        rest = (
+            reply.more,
+            reply.excluded,
             self._generation,
-            told.not_voting_with,
-            told.vouched_for,
-            told.version,
-            told.previous_generation,
+            reply.not_voting_with,
+            reply.vouched_for,
+            reply.version,
+            reply.previous_generation,
         )
-        self._send_reply(exchange, ReplyBody(told.vote.value, records, *more), mac)
+        self._send_reply(exchange, ReplyBody(reply.vote.value, records, *rest), mac)
 
-    def _respond_revisions(self, exchange: Exchange, question: RevisionRequest, mac: str) -> None:
-        told = None if self.answer_revisions is None else self.answer_revisions(question)
-        if told is None:
+    def _respond_revisions(self, exchange: Exchange, request: RevisionRequest, mac: str) -> None:
+        revisions = None if self.answer_revisions is None else self.answer_revisions(request)
+        if revisions is None:
             exchange.respond_problem(400, "request is invalid, or this gateway shares no configuration")
         else:
-            self._send_reply(exchange, ReplyBody(revisions=told), mac)
+            self._send_reply(exchange, ReplyBody(revisions=revisions), mac)
 
-    def _send_reply(self, exchange: Exchange, answer: ReplyBody, mac: str) -> None:
-        data = msgspec.json.encode(answer)
-        signed = self._compute_mac(self._secrets[0], mac.encode() + data)
-        exchange.respond(200, [("Content-Type", "application/json"), (MAC_HEADER, signed)], data)
+    def _send_reply(self, exchange: Exchange, body: ReplyBody, mac: str) -> None:
+        data = msgspec.json.encode(body)
+        reply_mac = self._compute_mac(self._secrets[0], mac.encode() + data)
+        exchange.respond(200, [("Content-Type", "application/json"), (MAC_HEADER, reply_mac)], data)
 
     def close(self) -> None:
         """Close the server; no further calls are accepted."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -33,106 +33,122 @@
 START = (("", 0, False, True),) * 2, (FRESH, FRESH, (*FRESH[:2], "A", *FRESH[3:])), "", ()
 
 
-def record_of(told):
-    return ClaimRecord(told[0], told[1], told[2])
+def decode_record(fields):
+    return ClaimRecord(fields[0], fields[1], fields[2])
 
 
-def plain(record):
+def encode_record(record):
     return record.owner, record.number, tuple(sorted(record.released))
 
 
-def put(all_, place, one):
-    return all_[:place] + (one,) + all_[place + 1 :]
+def replace_at(items, index, item):
+    return items[:index] + (item,) + items[index + 1 :]
 
 
-def sent(witness, *more):
+def with_messages(witness, *more):
     return (*witness[:4], tuple(sorted({*witness[4], *more})))
 
 
-def died(witness):
+def restarted(witness):
     """Return a witness after its death: messages to it are lost with its connections, its votes are not."""
     return FRESH[0], False, witness[2], witness[3], tuple(m for m in witness[4] if m[0] == "vote")
 
 
-def asked_of(claimants):
+def pending_claims(claimants):
     return tuple((c, each[1]) for c, each in enumerate(claimants) if each[0] == "asking" and each[3])
 
 
-def settled(claimants, witnesses, c):
+def update_claim(claimants, witnesses, c):
     """Update a claimant's state from its votes; release the claim unless it is pending or owns the key."""
-    _, number, ran, lives = claimants[c]
+    _, number, ran, is_alive = claimants[c]
     votes = [each[3][c] for each in witnesses]
-    told = VoteTally(votes.count("granted"), votes.count("held"), votes.count("none"))
-    stage = evaluate_votes(told, 3).value
-    if stage not in ("asking", "owned"):
-        witnesses = tuple(sent(each, ("release", c, number)) for each in witnesses)
-    return put(claimants, c, (stage, number, ran, lives)), witnesses
+    tally = VoteTally(votes.count("granted"), votes.count("held"), votes.count("none"))
+    state = evaluate_votes(tally, 3).value
+    if state not in ("asking", "owned"):
+        witnesses = tuple(with_messages(each, ("release", c, number)) for each in witnesses)
+    return replace_at(claimants, c, (state, number, ran, is_alive)), witnesses
 
 
 def successors(state, tries, losses):
     claimants, witnesses, dead, asking = state
-    for c, (stage, number, ran, lives) in enumerate(claimants):
-        if not lives:
+    for c, (state_name, number, ran, is_alive) in enumerate(claimants):
+        if not is_alive:
             continue
-        if not stage or (stage in ("split", "unknown") and number < tries[c]):
-            again = put(claimants, c, ("asking", number + 1, False, True))
-            fresh = [(*each[:3], put(each[3], c, ""), each[4]) for each in witnesses]
-            asked = tuple(sent(each, ("claim", c, number + 1)) for each in fresh)
+        if not state_name or (state_name in ("split", "unknown") and number < tries[c]):
+            again = replace_at(claimants, c, ("asking", number + 1, False, True))
+            fresh = [(*each[:3], replace_at(each[3], c, ""), each[4]) for each in witnesses]
+            asked = tuple(with_messages(each, ("claim", c, number + 1)) for each in fresh)
             yield again, asked, dead, asking
-        if stage == "asking":
+        if state_name == "asking":
             for w, each in enumerate(witnesses):
                 if each[3][c]:
                     continue
                 told = {m[3] for m in each[4] if m[:3] == ("vote", c, number)}
                 told |= {"none"} if losses or dead else set()
                 for one in told:
-                    seen = put(witnesses, w, (*each[:3], put(each[3], c, one), each[4]))
-                    yield *settled(claimants, seen, c), dead, asking
-        if stage == "owned" and not ran:
-            yield put(claimants, c, (stage, number, True, True)), witnesses, dead, asking
-            over = tuple(sent(each, ("release", c, number)) for each in witnesses)
-            yield put(claimants, c, ("lost", number, False, True)), over, dead, asking
+                    seen = replace_at(witnesses, w, (*each[:3], replace_at(each[3], c, one), each[4]))
+                    yield *update_claim(claimants, seen, c), dead, asking
+        if state_name == "owned" and not ran:
+            yield replace_at(claimants, c, (state_name, number, True, True)), witnesses, dead, asking
+            released = tuple(with_messages(each, ("release", c, number)) for each in witnesses)
+            yield replace_at(claimants, c, ("lost", number, False, True)), released, dead, asking
         if not dead:
-            gone = put(claimants, c, (stage, number, ran, False))
+            after_death = replace_at(claimants, c, (state_name, number, ran, False))
             yield (
-                gone,
-                tuple(died(each) if each[2] == NAMES[c] else each for each in witnesses),
+                after_death,
+                tuple(restarted(each) if each[2] == NAMES[c] else each for each in witnesses),
                 "c",
-                asked_of(gone),
+                pending_claims(after_death),
             )
-    for w, (record, voting, home, votes, net) in enumerate(witnesses):
-        for kind, c, number, *_ in net:
+    for w, (record, voting, gateway, votes, in_flight) in enumerate(witnesses):
+        for kind, c, number, *_ in in_flight:
             if kind == "claim" and voting:
-                after, told = vote_on_claim(record_of(record), NAMES[c], number)
-                now = sent((plain(after), True, home, votes, net), ("vote", c, number, told.value))
-                yield claimants, put(witnesses, w, now), dead, asking
+                after, told = vote_on_claim(decode_record(record), NAMES[c], number)
+                now = with_messages(
+                    (encode_record(after), True, gateway, votes, in_flight), ("vote", c, number, told.value)
+                )
+                yield claimants, replace_at(witnesses, w, now), dead, asking
             elif kind == "release":
-                after = plain(release_claim(record_of(record), NAMES[c], number))
-                yield claimants, put(witnesses, w, (after, voting, home, votes, net)), dead, asking
-        if not dead and not home:
-            yield claimants, put(witnesses, w, died(witnesses[w])), "w", asked_of(claimants)
+                after = encode_record(release_claim(decode_record(record), NAMES[c], number))
+                yield (
+                    claimants,
+                    replace_at(witnesses, w, (after, voting, gateway, votes, in_flight)),
+                    dead,
+                    asking,
+                )
+        if not dead and not gateway:
+            yield claimants, replace_at(witnesses, w, restarted(witnesses[w])), "w", pending_claims(claimants)
         if not voting and not any(claimants[c][:2] == ("asking", number) for c, number in asking):
             others = [each for place, each in enumerate(witnesses) if place != w][::-1]
-            knows = [(NAMES[c], n) for c, (s, n, _, lives) in enumerate(claimants) if s == "owned" and lives]
-            learnt = record_of(record)
-            for told in (*(each[0][:2] for each in others if each[0][0]), *knows):
-                learnt = merge_known_claim(learnt, *told)
-            yield claimants, put(witnesses, w, (plain(learnt), True, home, votes, net)), dead, asking
+            owned = [
+                (NAMES[c], n) for c, (s, n, _, is_alive) in enumerate(claimants) if s == "owned" and is_alive
+            ]
+            merged = decode_record(record)
+            for told in (*(each[0][:2] for each in others if each[0][0]), *owned):
+                merged = merge_known_claim(merged, *told)
+            yield (
+                claimants,
+                replace_at(witnesses, w, (encode_record(merged), True, gateway, votes, in_flight)),
+                dead,
+                asking,
+            )
 
 
-def one_of_alike(state):
+def canonical(state):
     """Return the canonical form of a state: messages without effect removed, witnesses sorted."""
     claimants, witnesses, dead, asking = state
-    bundles = []
-    for record, voting, home, votes, net in witnesses:
+    canonical_witnesses = []
+    for record, voting, gateway, votes, in_flight in witnesses:
         left = []
-        for m in net:
-            stage, now, _, lives = claimants[m[1]]
+        for m in in_flight:
+            state_name, now, _, is_alive = claimants[m[1]]
             if m[0] == "vote":  # counted already, or of an attempt that has ended
-                keep = lives and stage == "asking" and now == m[2] and not votes[m[1]]
+                keep = is_alive and state_name == "asking" and now == m[2] and not votes[m[1]]
             else:  # a release that arrived; a later claim is never granted, and a copy changes nothing
                 voted = (
-                    ("vote", m[1], m[2], "granted") in net or votes[m[1]] or (stage, now) != ("asking", m[2])
+                    ("vote", m[1], m[2], "granted") in in_flight
+                    or votes[m[1]]
+                    or (state_name, now) != ("asking", m[2])
                 )
                 copy = m[0] == "claim" and voted and record[0] == NAMES[m[1]] and record[1] >= m[2]
                 keep = not copy and not any(each == NAMES[m[1]] and m[2] <= last for each, last in record[2])
@@ -142,9 +158,9 @@
         counted = tuple(
             told if claimants[c][0] == "asking" and claimants[c][3] else "" for c, told in enumerate(votes)
         )
-        bundles.append((record, voting, home, counted, tuple(left)))
-    under_way = tuple(each for each in asking if claimants[each[0]][:2] == ("asking", each[1]))
-    return claimants, tuple(sorted(bundles)), dead, under_way
+        canonical_witnesses.append((record, voting, gateway, counted, tuple(left)))
+    pending = tuple(each for each in asking if claimants[each[0]][:2] == ("asking", each[1]))
+    return claimants, tuple(sorted(canonical_witnesses)), dead, pending
 
 
 def walk(tries, losses=False, most=3_000_000):
@@ -152,7 +168,7 @@
     while front:
         state = front.pop()
         for after in successors(state, tries, losses):
-            after = one_of_alike(after)
+            after = canonical(after)
             if after in seen:
                 continue
             assert sum(each[0] == "owned" for each in after[0]) <= 1, f"two owners: {after}"
@@ -166,8 +182,8 @@
 def test_every_state_of_two_claimants_and_three_witnesses_has_one_owner_at_most():
     seen = walk((1, 1))
     print(f"{len(seen)} states")
-    stages = {each[0] for state in seen for each in state[0]}
-    assert stages == {"", *(each.value for each in ClaimState)}
+    states = {each[0] for state in seen for each in state[0]}
+    assert states == {"", *(each.value for each in ClaimState)}
 
 
 WRONG = {
@@ -175,16 +191,16 @@
         "evaluate_votes",
         lambda told, count: ClaimState.OWNED if told.granted else ClaimState.LOST,
     ),
-    "the first who tells is believed": (
+    "the first report is trusted": (
         "merge_known_claim",
         lambda record, owner, number: vote_on_claim(record, owner, number)[0],
     ),
-    "nothing is learnt": ("merge_known_claim", lambda record, owner, number: record),
+    "nothing is merged": ("merge_known_claim", lambda record, owner, number: record),
 }
 
 
 @pytest.mark.parametrize("fault", WRONG)
-def test_the_model_finds_a_wrong_machine(monkeypatch, fault):
+def test_the_model_check_detects_a_wrong_state_machine(monkeypatch, fault):
     monkeypatch.setitem(globals(), *WRONG[fault])
     with pytest.raises(AssertionError, match="two owners|charged twice"):
         walk((1, 1))
@@ -193,102 +209,119 @@
 class Region:
     """Claims of several gateways on one clock; messages are delayed, lost or duplicated.
 
-    `cut` names dead processes, `lost` unreachable machines; gateways are notified as membership would do.
+    `dead` names processes, `unreachable` machines; gateways are notified as membership would do.
     """
 
-    def __init__(self, seed, names, lose=0.1):
-        self.random, self.lose, self.now, self.queue = random.Random(seed), lose, 1000 * SECOND, []
+    def __init__(self, seed, names, loss=0.1):
+        self.random, self.loss, self.now, self.events = random.Random(seed), loss, 1000 * SECOND, []
         self.count = 0
-        self.names, self.lives, self.cut, self.lost, self.owners, self.said = names, {}, set(), set(), {}, []
-        self.parts = {}
+        self.names, self.generations, self.dead, self.unreachable, self.owners, self.decisions = (
+            names,
+            {},
+            set(),
+            set(),
+            {},
+            [],
+        )
+        self.claims = {}
         for name in names:
             self.start(name)
 
     def start(self, name):
-        life = self.lives[name] = self.now + 1
-        self.cut.discard(name)
+        generation = self.generations[name] = self.now + 1
+        self.dead.discard(name)
         out = []
 
-        def decided(now, session, why):
-            self.said.append((now, name, session, why))
-            if not why:
+        def on_decided(now, session, reason):
+            self.decisions.append((now, name, session, reason))
+            if not reason:
                 assert not self.owners.get("key"), f"two owners: {self.owners} and {name}"
                 self.owners["key"] = name, session
 
-        part = Claims(name, life, self.names, out.append, decided)
-        self.parts[name] = part, out
-        part.witness_service.start(self.now)
-        self.carry(name)
-        for other in self.parts:
+        claims = Claims(name, generation, self.names, out.append, on_decided)
+        self.claims[name] = claims, out
+        claims.witness_service.start(self.now)
+        self.execute(name)
+        for other in self.claims:
             if other != name:
-                self.told(name, other, Liveness.REFUSED if other in self.cut else Liveness.HEARD)
-                self.told(other, name, Liveness.HEARD)
+                self.notify(name, other, Liveness.REFUSED if other in self.dead else Liveness.HEARD)
+                self.notify(other, name, Liveness.HEARD)
 
     def die(self, name):
-        self.cut.add(name)
-        self.lives[name] = 0
+        self.dead.add(name)
+        self.generations[name] = 0
         for other in self.names:
-            self.later(SECOND // 2, self.told, other, name, Liveness.REFUSED)
+            self.schedule(SECOND // 2, self.notify, other, name, Liveness.REFUSED)
 
     def lose_machine(self, name):
-        self.lost.add(name)
+        self.unreachable.add(name)
         for other in self.names:
-            self.later(2 * SECOND, self.told, other, name, Liveness.CONFIRMED)
-            self.later(2 * SECOND, self.told, name, other, Liveness.CONFIRMED)
+            self.schedule(2 * SECOND, self.notify, other, name, Liveness.CONFIRMED)
+            self.schedule(2 * SECOND, self.notify, name, other, Liveness.CONFIRMED)
 
     def find_machine(self, name):
-        self.lost.discard(name)
+        self.unreachable.discard(name)
         for other in self.names:
-            self.told(other, name, Liveness.HEARD)
-            self.told(name, other, Liveness.HEARD)
+            self.notify(other, name, Liveness.HEARD)
+            self.notify(name, other, Liveness.HEARD)
 
-    def told(self, name, about, proof):
+    def notify(self, name, subject, liveness):
         """Report another gateway's liveness to a gateway, if it still holds."""
-        so = {Liveness.REFUSED: about in self.cut, Liveness.CONFIRMED: {name, about} & self.lost}
-        apart = {name, about} & self.lost and proof is not Liveness.CONFIRMED
-        if name != about and name not in self.cut and so.get(proof, about not in self.cut) and not apart:
-            start = self.lives[about] if about not in self.cut else 0
-            self.parts[name][0].witness_service.handle_peer_status(
-                self.now, claim_messages.PeerStatusChanged(about, proof, start)
+        still_holds = {
+            Liveness.REFUSED: subject in self.dead,
+            Liveness.CONFIRMED: {name, subject} & self.unreachable,
+        }
+        is_cut_off = {name, subject} & self.unreachable and liveness is not Liveness.CONFIRMED
+        if (
+            name != subject
+            and name not in self.dead
+            and still_holds.get(liveness, subject not in self.dead)
+            and not is_cut_off
+        ):
+            generation = self.generations[subject] if subject not in self.dead else 0
+            self.claims[name][0].witness_service.handle_peer_status(
+                self.now, claim_messages.PeerStatusChanged(subject, liveness, generation)
             )
-            self.carry(name)
+            self.execute(name)
 
-    def later(self, wait, do, *args):
+    def schedule(self, wait, do, *args):
         self.count += 1
-        self.queue.append((self.now + wait, self.count, do, args))
+        self.events.append((self.now + wait, self.count, do, args))
 
-    def carry(self, name):
-        part, out = self.parts[name]
+    def execute(self, name):
+        claims, out = self.claims[name]
         commands, out[:] = list(out), []
         for command in commands:
             if isinstance(command, msg.ScheduleTimer):
-                self.later(command.at - self.now, self.wake, name, self.lives[name], command.token)
+                self.schedule(
+                    command.at - self.now, self.fire_timer, name, self.generations[name], command.token
+                )
             elif not isinstance(command, msg.LogEvent | claim_messages.PeerReply):
                 self.send(name, command)
 
-    def wake(self, name, life, token):
-        if self.lives[name] == life and name not in self.cut:
-            part = self.parts[name][0]
-            part.witness_service.handle_review_timer(self.now) if token == ("learn",) else part.retry(
+    def fire_timer(self, name, generation, token):
+        if self.generations[name] == generation and name not in self.dead:
+            claims = self.claims[name][0]
+            claims.witness_service.handle_review_timer(self.now) if token == ("learn",) else claims.retry(
                 self.now, token[1]
             )
-            self.carry(name)
+            self.execute(name)
 
     def send(self, name, command):
-        life, peer = self.lives[name], command.peer
+        generation, peer = self.generations[name], command.peer
         for _ in range(1 + (self.random.random() < 0.1)):
-            if self.random.random() >= self.lose:
+            if self.random.random() >= self.loss:
                 wait = self.random.choice((100, 2000, 50_000, 400_000))
-                self.later(wait, self.come, name, life, peer, command)
+                self.schedule(wait, self.deliver, name, generation, peer, command)
         if isinstance(command, claim_messages.SendClaim):
-            none = claim_messages.VoteReceived(peer, command.number, Vote.NONE)
-            self.later(command.deadline - self.now, self.answer, name, life, none)
+            no_vote = claim_messages.VoteReceived(peer, command.number, Vote.NONE)
+            self.schedule(command.deadline - self.now, self.deliver_reply, name, generation, no_vote)
 
-    def come(self, name, life, peer, command):
-        if peer in self.cut or {name, peer} & self.lost:
+    def deliver(self, name, generation, peer, command):
+        if peer in self.dead or {name, peer} & self.unreachable:
             return
-        part, out = self.parts[peer]
-        owner = f"{name}/{life:x}"
+        claims, out = self.claims[peer]
+        owner = f"{name}/{generation:x}"
         if isinstance(command, claim_messages.SendLearnRequest):
             call = claim_messages.PeerCall(0, owner, learn_after=command.after)
         elif isinstance(command, claim_messages.SendExclusions):
@@ -300,112 +333,119 @@
                 to_generation=command.to_generation,
             )
         else:
-            taken = isinstance(command, claim_messages.SendRelease)
+            is_release = isinstance(command, claim_messages.SendRelease)
             retention = getattr(command, "retention", 0)
-            call = claim_messages.PeerCall(0, owner, command.digest, command.number, retention, taken)
-        part.witness_service.handle_call(self.now, call)
+            call = claim_messages.PeerCall(0, owner, command.digest, command.number, retention, is_release)
+        claims.witness_service.handle_call(self.now, call)
         reply = next(each for each in out if isinstance(each, claim_messages.PeerReply))
         out.remove(reply)
-        self.carry(peer)
+        self.execute(peer)
         back = claim_messages.ExclusionsAcknowledged(peer, reply.version)
         if isinstance(command, claim_messages.SendClaim):
             back = claim_messages.VoteReceived(peer, command.number, reply.vote, reply.excluded)
         elif isinstance(command, claim_messages.SendLearnRequest):
-            told = self.lives[peer], reply.not_voting_with, reply.vouched_for
-            back = claim_messages.LearnReply(peer, reply.records, reply.more, True, command.number, *told)
-        if self.random.random() >= self.lose and not isinstance(command, claim_messages.SendRelease):
-            self.later(self.random.choice((100, 2000, 300_000)), self.answer, name, life, back)
-
-    def answer(self, name, life, event):
-        if self.lives[name] == life and name not in self.cut and not {name, event.peer} & self.lost:
-            part = self.parts[name][0]
-            take = {
-                claim_messages.VoteReceived: part.handle_vote,
-                claim_messages.LearnReply: part.witness_service.handle_learn_reply,
-                claim_messages.ExclusionsAcknowledged: part.witness_service.handle_exclusions_acknowledged,
+            fields = self.generations[peer], reply.not_voting_with, reply.vouched_for
+            back = claim_messages.LearnReply(peer, reply.records, reply.more, True, command.number, *fields)
+        if self.random.random() >= self.loss and not isinstance(command, claim_messages.SendRelease):
+            self.schedule(
+                self.random.choice((100, 2000, 300_000)), self.deliver_reply, name, generation, back
+            )
+
+    def deliver_reply(self, name, generation, event):
+        if (
+            self.generations[name] == generation
+            and name not in self.dead
+            and not {name, event.peer} & self.unreachable
+        ):
+            claims = self.claims[name][0]
+            handlers = {
+                claim_messages.VoteReceived: claims.handle_vote,
+                claim_messages.LearnReply: claims.witness_service.handle_learn_reply,
+                claim_messages.ExclusionsAcknowledged: claims.witness_service.handle_exclusions_acknowledged,
             }
-            take[type(event)](self.now, event)
-            self.carry(name)
+            handlers[type(event)](self.now, event)
+            self.execute(name)
 
     def run(self, until):
-        while self.queue:
-            at, place, do, args = min(self.queue)
+        while self.events:
+            at, place, do, args = min(self.events)
             if at > until:
                 break
-            self.queue.remove((at, place, do, args))
+            self.events.remove((at, place, do, args))
             self.now = max(self.now, at)
             do(*args)
         self.now = until
 
-    def settle(self, most=20):
+    def run_until_voting(self, most=20):
         """Run until all reachable gateways vote; return whether they do."""
         for _ in range(most):
             if all(
-                self.parts[each][0].witness_service.is_voting
+                self.claims[each][0].witness_service.is_voting
                 for each in self.names
-                if each not in self.cut | self.lost
+                if each not in self.dead | self.unreachable
             ):
                 return True
             self.run(self.now + SECOND)
         return False
 
 
-def stormy(seed, names, events=25):
+def run_random_faults(seed, names, events=25):
     """Run random requests, copies, single deaths and one unreachable machine at a time."""
     region = Region(seed, names)
     draw, session, freed, unsettled = region.random, 0, 0, 0
     region.run(region.now + 3 * SECOND)
     for _ in range(events):
         name = draw.choice(region.names)
-        what = draw.choice(("ask", "ask", "ask", "free", "die", "lose", "wait"))
-        part = region.parts[name][0]
-        waits = any(part.is_pending(each) for each in range(session + 1))  # the book joins such requests
-        if what == "ask" and not waits:
+        action = draw.choice(("ask", "ask", "ask", "free", "die", "lose", "wait"))
+        claims = region.claims[name][0]
+        # the session book joins requests for a pending claim
+        is_waiting = any(claims.is_pending(each) for each in range(session + 1))
+        if action == "ask" and not is_waiting:
             session += 1
-            part.claim_key(region.now, session, "key", 0, region.now + SECOND)
-            region.carry(name)
-        elif what == "free" and "key" in region.owners:  # the owner's session provably never ran
+            claims.claim_key(region.now, session, "key", 0, region.now + SECOND)
+            region.execute(name)
+        elif action == "free" and "key" in region.owners:  # the owner's session provably never ran
             name, held = region.owners.pop("key")
-            if region.lives[name] == region.parts[name][0]._generation:
-                region.parts[name][0].finish_session(region.now, held, ran=False)
-                region.carry(name)
+            if region.generations[name] == region.claims[name][0]._generation:
+                region.claims[name][0].finish_session(region.now, held, ran=False)
+                region.execute(name)
                 freed += 1
-        elif what == "lose" and len(names) > 2:
-            if not region.lost:
+        elif action == "lose" and len(names) > 2:
+            if not region.unreachable:
                 region.lose_machine(name)
             else:
-                region.find_machine(next(iter(region.lost)))
+                region.find_machine(next(iter(region.unreachable)))
             region.run(region.now + draw.choice((SECOND, 6 * SECOND)))
-        elif what == "die" and name not in region.lost and region.settle(1):
+        elif action == "die" and name not in region.unreachable and region.run_until_voting(1):
             # what it owned may have run, so the key stays owned; the others vote
             held = region.owners.get("key")
             region.die(name)
             region.run(region.now + draw.choice((SECOND // 10, SECOND)))
             region.start(name)
-            unsettled += not region.settle()
+            unsettled += not region.run_until_voting()
             if held and held[0] == name:
                 region.owners["key"] = held
         region.run(region.now + draw.choice((1000, 200_000, 2 * SECOND)))
     return region, freed, unsettled
 
 
-def test_random_weather_keeps_one_owner_and_frees_what_never_ran():
+def test_random_faults_keep_one_owner_and_free_what_never_ran():
     owned = refused = unsettled = 0
     for seed in range(60):
-        region, freed, waits = stormy(seed, ("g0", "g1", "g2", "g3", "g4")[: 3 + seed % 3])
+        region, freed, waits = run_random_faults(seed, ("g0", "g1", "g2", "g3", "g4")[: 3 + seed % 3])
         refused, unsettled = refused + freed, unsettled + waits
-        owned += len([each for each in region.said if not each[3]])
+        owned += len([each for each in region.decisions if not each[3]])
     assert owned > 60 and refused > 10 and unsettled < 20, (owned, refused, unsettled)
 
 
 def test_a_witness_that_starts_votes_while_another_machine_is_lost_and_knows_what_it_granted():
     for seed in range(20):
         region = Region(seed, ("g0", "g1", "g2"))
-        region.settle()
+        region.run_until_voting()
         digest = witness.hash_key("key")
         lost = region.random.choice(region.names)
-        region.parts[lost][0].claim_key(region.now, 1, "key", 0, region.now + SECOND)
-        region.carry(lost)
+        region.claims[lost][0].claim_key(region.now, 1, "key", 0, region.now + SECOND)
+        region.execute(lost)
         region.run(region.now + SECOND)
         region.lose_machine(lost)
         region.run(region.now + 8 * SECOND)
@@ -414,23 +454,23 @@
                 region.die(name)
                 region.run(region.now + SECOND)
                 region.start(name)
-                assert region.settle(), seed
-                known = region.parts[name][0].witness_service.records._records.get(digest)
+                assert region.run_until_voting(), seed
+                known = region.claims[name][0].witness_service.records._records.get(digest)
                 assert "key" not in region.owners or (known and known.owner), seed
                 region.run(region.now + 4 * SECOND)
         region.find_machine(lost)
         region.run(region.now + 8 * SECOND)
         held = {
             name: sorted(each.excluded)
-            for p, _ in region.parts.values()
+            for p, _ in region.claims.values()
             for name, each in p.witness_service.exclusions.peers.items()
         }
         assert not any(held.values()), held
 
 
-def test_one_of_the_version_before_tells_what_it_knows_and_vouches_for_nothing():
-    region = Region(1, ("g0", "g1", "g2"), lose=0.0)
-    part = region.parts["g0"][0].witness_service.exclusions
+def test_a_gateway_of_the_previous_release_reports_its_claims_and_vouches_for_nobody():
+    region = Region(1, ("g0", "g1", "g2"), loss=0.0)
+    part = region.claims["g0"][0].witness_service.exclusions
     part.earlier_claims_settled = True
     part.send_pending(region.now)
     for number, peer in enumerate(("g1", "g2"), 1):
@@ -441,15 +481,15 @@
     assert part.may_vote_with(("g1", "g2")) and part.describe_for("g1")[1] == ()
 
 
-def test_a_process_whose_name_another_has_neither_votes_nor_claims():
-    region = Region(1, ("g0", "g1", "g2"), lose=0.0)
-    assert region.settle()
-    part, out = region.parts["g0"]
+def test_a_process_whose_name_is_taken_neither_votes_nor_claims():
+    region = Region(1, ("g0", "g1", "g2"), loss=0.0)
+    assert region.run_until_voting()
+    part, out = region.claims["g0"]
     part.witness_service.disqualify(
         region.now, claim_messages.ProcessDisqualified("a later process has this gateway's name")
     )
     part.claim_key(region.now, 1, "key", 0, region.now + SECOND)
-    assert region.said[-1][3].startswith("a later process") and not part.witness_service.is_voting
+    assert region.decisions[-1][3].startswith("a later process") and not part.witness_service.is_voting
     digest = witness.hash_key("other")
     for call in (
         claim_messages.PeerCall(0, "g1/9", digest, 1, SECOND),
@@ -459,27 +499,27 @@
         assert not out[-1].answered and not out[-1].records
 
 
-def test_a_vote_of_a_start_that_is_over_does_not_count():
-    region = Region(1, ("g0", "g1", "g2"), lose=0.0)
-    assert region.settle()
-    part, out = region.parts["g0"]
-    region.cut |= {"g1", "g2"}
+def test_a_vote_of_an_ended_generation_does_not_count():
+    region = Region(1, ("g0", "g1", "g2"), loss=0.0)
+    assert region.run_until_voting()
+    part, out = region.claims["g0"]
+    region.dead |= {"g1", "g2"}
     part.claim_key(region.now, 1, "key", 0, region.now + SECOND)
     asked = [each for each in out if isinstance(each, claim_messages.SendClaim)]
     for each in asked:
-        start = region.lives[each.peer]
+        start = region.generations[each.peer]
         part.witness_service.handle_peer_status(
             region.now, claim_messages.PeerStatusChanged(each.peer, Liveness.HEARD, start + 5)
         )
         part.handle_vote(
             region.now, claim_messages.VoteReceived(each.peer, each.number, Vote.GRANTED, (), start)
         )
-    assert asked and not any(why == "" for *_, why in region.said)
+    assert asked and not any(why == "" for *_, why in region.decisions)
 
 
-def test_records_are_called_whole_only_where_those_out_of_reach_are_accounted_for_too():
-    region = Region(1, ("g0", "g1", "g2", "g3", "g4"), lose=0.0)
-    assert region.settle()
+def test_records_are_complete_only_if_unreachable_gateways_are_accounted_for():
+    region = Region(1, ("g0", "g1", "g2", "g3", "g4"), loss=0.0)
+    assert region.run_until_voting()
     for name in ("g3", "g4"):
         region.lose_machine(name)
         region.run(region.now + SECOND // 10)
@@ -487,12 +527,12 @@
     region.run(region.now + SECOND)
     region.start("g0")
     region.run(region.now + 4 * SECOND)
-    exclusions = region.parts["g0"][0].witness_service.exclusions
+    exclusions = region.claims["g0"][0].witness_service.exclusions
     assert not exclusions.may_vote_with(("g3", "g4")) and not exclusions.knows_all_grants
     for name in ("g3", "g4"):
         region.find_machine(name)
     region.run(region.now + 4 * SECOND)
-    assert exclusions.knows_all_grants and region.parts["g1"][0].witness_service.exclusions.knows_all_grants
+    assert exclusions.knows_all_grants and region.claims["g1"][0].witness_service.exclusions.knows_all_grants
 
 
 def test_votes_that_exclude_each_other_are_not_counted_together():
@@ -504,51 +544,51 @@
 
 @pytest.mark.parametrize("missing", ["g0", "g1", "g2"])
 def test_with_one_of_three_gateways_dead_a_key_is_owned_in_time(missing):
-    region = Region(1, ("g0", "g1", "g2"), lose=0.0)
+    region = Region(1, ("g0", "g1", "g2"), loss=0.0)
     region.random.choice = lambda waits: 2000
     region.run(region.now + 2 * SECOND)
-    region.cut.add(missing)
+    region.dead.add(missing)
     alive = next(each for each in region.names if each != missing)
-    part = region.parts[alive][0]
+    part = region.claims[alive][0]
     part.claim_key(region.now, 1, "key", 0, region.now + SECOND)
-    region.carry(alive)
+    region.execute(alive)
     begin = region.now
     region.run(begin + SECOND)
-    assert [each[1:] for each in region.said] == [(alive, 1, "")]
-    assert region.said[0][0] - begin <= 5000  # one round trip, without waiting for the dead gateway
+    assert [each[1:] for each in region.decisions] == [(alive, 1, "")]
+    assert region.decisions[0][0] - begin <= 5000  # one round trip, without waiting for the dead gateway
 
 
-def test_a_gateway_that_stood_still_counts_no_vote_that_came_meanwhile():
-    region = Region(1, ("g0", "g1", "g2"), lose=0.0)
+def test_a_paused_gateway_counts_no_vote_that_arrived_meanwhile():
+    region = Region(1, ("g0", "g1", "g2"), loss=0.0)
     region.random.choice = lambda waits: 2000
     region.run(region.now + 2 * SECOND)
-    part, out = region.parts["g0"]
+    part, out = region.claims["g0"]
     part.claim_key(region.now, 1, "key", 0, region.now + SECOND)
     asked = next(each for each in out if isinstance(each, claim_messages.SendClaim))
     for peer in ("g1", "g2"):
         late = claim_messages.VoteReceived(peer, asked.number, Vote.GRANTED)
         part.handle_vote(region.now + CLAIM_TIMEOUT_US + 1, late)
-    assert not any(why == "" for *_, why in region.said)
+    assert not any(why == "" for *_, why in region.decisions)
 
 
 def test_a_witness_remembers_for_the_sessions_length_and_an_hour_and_is_bounded(monkeypatch):
-    keeper = witness.WitnessRecords()
+    records = witness.WitnessRecords()
     keep = 600 * SECOND + witness.RECORD_RETENTION_US
-    assert keeper.vote(0, "k", "a/1", 1, keep) is Vote.GRANTED
-    assert keeper.vote(keep - 1, "k", "b/1", 1, keep) is Vote.HELD
+    assert records.vote(0, "k", "a/1", 1, keep) is Vote.GRANTED
+    assert records.vote(keep - 1, "k", "b/1", 1, keep) is Vote.HELD
     for n in range(20):  # new records arrive and expired ones are dropped
-        keeper.vote(3 * keep + n, f"x{n}", "a/1", 2 + n, keep)
-    assert keeper.vote(3 * keep + 30, "k", "b/1", 1, keep) is Vote.GRANTED
-    monkeypatch.setattr(witness, "MAX_RECORDS", len(keeper))
-    assert keeper.vote(3 * keep + 31, "new", "a/1", 99, keep) is Vote.NONE
+        records.vote(3 * keep + n, f"x{n}", "a/1", 2 + n, keep)
+    assert records.vote(3 * keep + 30, "k", "b/1", 1, keep) is Vote.GRANTED
+    monkeypatch.setattr(witness, "MAX_RECORDS", len(records))
+    assert records.vote(3 * keep + 31, "new", "a/1", 99, keep) is Vote.NONE
 
 
-def ask_peer(small, body, mac=None, path="/v1/peers"):
+def call_peer(small, body, mac=None, path="/v1/peers"):
     """Send these bytes to a gateway's peer address; return the reply."""
     replies = []
-    lines = small.stage.gateways[0].peers
+    transport = small.stage.gateways[0].peers
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    signed = lines._compute_mac(lines._secrets[0], data) if mac is None else mac
+    signed = transport._compute_mac(transport._secrets[0], data) if mac is None else mac
     until = small.stage.now() + SECOND
     client = HttpClient(small.stage.viewers)
     client.call(("gw0", 7946), "POST", path, replies.append, [("mintmast-mac", signed)], data, until)
@@ -558,26 +598,26 @@
 
 def test_calls_between_gateways_are_signed_fresh_and_of_one_list():
     small = Small(gateways=3)
-    lines = small.stage.gateways[0].peers
+    transport = small.stage.gateways[0].peers
     good = {
-        "owner": "gw1/9", "at": small.stage.wall(), "members": lines._members_digest, "digest": "d", "number": 1,
-        "keep_ms": 3_600_000,
+        "owner": "gw1/9", "at": small.stage.wall(), "members": transport._members_digest, "digest": "d",
+        "number": 1, "keep_ms": 3_600_000,
     }  # fmt: skip
-    reply = ask_peer(small, good)
+    reply = call_peer(small, good)
     assert reply.status == 200 and json.loads(reply.body)["vote"] == "granted"
-    assert lines._is_authentic(
+    assert transport._is_authentic(
         reply.headers["mintmast-mac"],
-        lines._compute_mac(lines._secrets[0], json.dumps(good).encode()).encode() + reply.body,
+        transport._compute_mac(transport._secrets[0], json.dumps(good).encode()).encode() + reply.body,
     )
-    assert ask_peer(small, good, mac="0" * 64).status == 401
-    assert ask_peer(small, {**good, "at": small.stage.wall() - 100}).status == 401
-    assert ask_peer(small, {**good, "members": "other"}).status == 409
-    assert ask_peer(small, {**good, "owner": "stranger/1"}).status == 409
+    assert call_peer(small, good, mac="0" * 64).status == 401
+    assert call_peer(small, {**good, "at": small.stage.wall() - 100}).status == 401
+    assert call_peer(small, {**good, "members": "other"}).status == 409
+    assert call_peer(small, {**good, "owner": "stranger/1"}).status == 409
     for bad in (b"", b"nonsense", b"[]", b'{"owner": 1}', json.dumps({**good, "number": "x"}).encode()):
-        assert ask_peer(small, bad).status == 400
-    assert ask_peer(small, {**good, "digest": "x" * 40_000}).status == 413
-    assert ask_peer(small, good, path="/").status == 404
-    assert ask_peer(small, {**good, "owner": "gw2/9", "number": 7}).status == 200
+        assert call_peer(small, bad).status == 400
+    assert call_peer(small, {**good, "digest": "x" * 40_000}).status == 413
+    assert call_peer(small, good, path="/").status == 404
+    assert call_peer(small, {**good, "owner": "gw2/9", "number": 7}).status == 200
     record = small.stage.gateways[0].core.book.claims.witness_service.records._records["d"]
     assert (record.owner, record.number) == ("gw1/9", 1)
 
@@ -617,7 +657,7 @@
     print(len(walk((1, 1), losses=True)), "states")
 
 
-def test_a_key_is_placed_once_for_all_who_ask_and_as_it_was(monkeypatch):
+def test_witnesses_of_a_key_are_selected_once_and_cached(monkeypatch):
     members, placed = tuple(f"g{n}" for n in range(20)), []
     plain = witness.select_witnesses
     monkeypatch.setattr(witness, "select_witnesses", lambda *key: placed.append(key[0]) or plain(*key))
--- a/tests/test_crash.py
+++ b/tests/test_crash.py
@@ -17,84 +17,88 @@
 NAMES = count()
 
 
-def state(engine):
+def records_of(engine):
     """Return the records without the note that the log was torn: that commit was never confirmed."""
     return {(row.kind, row.key): row.value for row in engine.rows() if row.kind != "log"}
 
 
-def written(folder, seed, full=0.0, flushes=True, commits=24):
+def write_history(folder, seed, full=0.0, flushes=True, commits=24):
     """Write, compact and write again; return the disk, each commit's first and last step, and its rows."""
     draw = random.Random(seed)
     disk = CrashDisk(f"crash{next(NAMES)}", seed, flushes=flushes)
     engine = Engine(str(folder / "gw0.store"), "gw0", connect=disk.connect)
-    begun, told, history = [len(disk.steps)], [len(disk.steps)], [state(engine)]
+    first_steps, confirmed_at, history = [len(disk.steps)], [len(disk.steps)], [records_of(engine)]
     disk.full = full
     for n in range(commits):
         rows = dict(history[-1])
         records = [StoredRecord("grant", f"k{draw.randrange(8)}", draw.choice((None, b"%d" % n * 300)))]
         records += [StoredRecord("intent", f"k{n}", b"%d" % n), StoredRecord("grant", "same", b"%d" % n)]
-        begun.append(len(disk.steps))
+        first_steps.append(len(disk.steps))
         try:
             if n in (8, 17):
                 engine.give_back(100) if n == 8 else engine.compact()
             else:
                 engine.write(records)
                 rows.update({(each.kind, each.key): each.value for each in records})
-            good = True
+            is_confirmed = True
         except StoreError:
-            good = False
+            is_confirmed = False
         rows = {key: value for key, value in rows.items() if value is not None}
-        history.append(rows if good else history[-1])
-        told.append(len(disk.steps) if good else -1)
-        if good:
-            assert state(engine) == history[-1]
+        history.append(rows if is_confirmed else history[-1])
+        confirmed_at.append(len(disk.steps) if is_confirmed else -1)
+        if is_confirmed:
+            assert records_of(engine) == history[-1]
     disk.full = 0.0
     engine.close()
-    return disk, begun, told, history
+    return disk, first_steps, confirmed_at, history
 
 
-def crashes(folder, seed, times, full=0.0, flushes=True):
+def check_crashes(folder, seed, times, full=0.0, flushes=True):
     """Cut the power after each step with `times` random outcomes; return how many were checked."""
     (folder / "first").mkdir()
     (folder / "then").mkdir()
-    disk, begun, told, history = written(folder / "first", seed, full, flushes)
+    disk, first_steps, confirmed_at, history = write_history(folder / "first", seed, full, flushes)
     draw, checked = random.Random(f"{seed}/crash"), 0
-    for after in range(told[0], len(disk.steps) + 1):
-        last = max(n for n, at in enumerate(told) if 0 <= at <= after)
-        may_be = history[last : 1 + max(n for n, at in enumerate(begun) if at <= after)]
+    for after in range(confirmed_at[0], len(disk.steps) + 1):
+        last = max(n for n, at in enumerate(confirmed_at) if 0 <= at <= after)
+        possible = history[last : 1 + max(n for n, at in enumerate(first_steps) if at <= after)]
         for _ in range(times):
             lay_out(crash(disk.steps, after, draw), folder / "then")
             with closing(Engine(str(folder / "then" / "gw0.store"), "gw0")) as engine:
-                found = state(engine)
-                assert found in may_be or full, (after, sorted(found))
+                found = records_of(engine)
+                assert found in possible or full, (after, sorted(found))
                 if full:  # a commit that hit the full disk may be present or not, and so may later ones
                     for key, value in history[last].items():
-                        after_it = [rows.get(key) for rows in history[last:]]
-                        assert found.get(key) in {value, *after_it, *retold(history, last, key)}, key
+                        later_values = [rows.get(key) for rows in history[last:]]
+                        assert found.get(key) in {
+                            value,
+                            *later_values,
+                            *possible_values(history, last, key),
+                        }, key
                 assert None not in found.values()  # all checksums are valid
                 assert not [each for each in engine.verify() if not each.startswith("the log has")]
                 checked += 1
     return checked
 
 
-def retold(history, last, key):
+def possible_values(history, last, key):
     """Return what a commit that was not confirmed may have written to a key."""
     number = int(key[1][1:]) if key[1] != "same" else 0
     return {None, *(b"%d" % n * 300 for n in range(len(history))), *(b"%d" % n for n in range(number + 99))}
 
 
 @pytest.mark.parametrize("seed", ["a", "b"])
-def test_a_power_cut_after_any_step_loses_nothing_that_was_told(tmp_path, seed):
-    assert crashes(tmp_path, seed, 4) > 300
+def test_a_power_cut_after_any_step_loses_no_confirmed_record(tmp_path, seed):
+    assert check_crashes(tmp_path, seed, 4) > 300
 
 
-def test_a_full_disk_and_a_power_cut_leave_a_file_that_is_whole(tmp_path):
-    assert crashes(tmp_path, "c", 4, full=0.08) > 300
+def test_a_full_disk_and_a_power_cut_leave_a_consistent_file(tmp_path):
+    assert check_crashes(tmp_path, "c", 4, full=0.08) > 300
 
 
-def test_a_disk_that_does_not_flush_is_found_out(tmp_path):
+def test_a_disk_that_does_not_flush_is_detected(tmp_path):
     with pytest.raises((AssertionError, StoreError, sqlite3.Error)):
-        crashes(tmp_path, "d", 4, flushes=False)
+        check_crashes(tmp_path, "d", 4, flushes=False)
 
 
 if __name__ == "__main__":  # many seeds, run manually
@@ -102,5 +106,5 @@
     for seed in range(int(sys.argv[1])):
         for full in (0.0, 0.05):
             with TemporaryDirectory() as folder:
-                total += crashes(Path(folder), f"hand{seed}", int(sys.argv[2]), full)
+                total += check_crashes(Path(folder), f"hand{seed}", int(sys.argv[2]), full)
     print(total, "power cuts")
--- a/tests/test_exclusions.py
+++ b/tests/test_exclusions.py
@@ -25,20 +25,20 @@
 # or wrongly. A gateway dies only while the others vote on the key; its pending claims end before it learns.
 # Each gateway runs the real code; its reaction to an event in a given state is computed once and cached.
 NAMES = ("a", "w", "x")
-# who may hold whom for unreachable, changing once to and fro
-WX, WA = ("w", "x"), ("w", "a")
-UNSURE = (WX, WA)
+# who may hold whom for unreachable, once
+W_ABOUT_X, W_ABOUT_A = ("w", "x"), ("w", "a")
+UNCERTAIN = (W_ABOUT_X, W_ABOUT_A)
 
 
-class Life:
+class Process:
     """One process: its exclusions, its record of the key, the messages that it sends."""
 
-    def __init__(self, name, start):
-        self.name, self.start, self.out, self.record = name, start, [], ClaimRecord()
+    def __init__(self, name, generation):
+        self.name, self.generation, self.sent, self.record = name, generation, [], ClaimRecord()
         self.others = tuple(each for each in NAMES if each != name)
-        self.exclusions = Exclusions(name, NAMES, self.out.append)
+        self.exclusions = Exclusions(name, NAMES, self.sent.append)
 
-    def key(self):
+    def state_key(self):
         part = self.exclusions
         rows = [
             (
@@ -68,7 +68,7 @@
         return repr(
             (
                 self.name,
-                self.start,
+                self.generation,
                 record,
                 part._knows_all,
                 part.earlier_claims_settled,
@@ -79,65 +79,73 @@
 
     # Events; each returns what the model needs to know
 
-    def first(self):
+    def boot(self):
         self.exclusions.earlier_claims_settled = self.exclusions._knows_all = True
         for each in self.others:
             self.exclusions.update_peer(each, Liveness.HEARD, 1)
 
     def vote(self, claim):
-        self.record, told = vote_on_claim(self.record, claim, 1)
-        return self.exclusions.excluded_among(self.others) if told is Vote.GRANTED else None
+        self.record, vote = vote_on_claim(self.record, claim, 1)
+        return self.exclusions.excluded_among(self.others) if vote is Vote.GRANTED else None
 
-    def flip(self, other, start):
-        about = self.exclusions.peers[other]
-        self.exclusions.update_peer(other, Liveness.HEARD if about.unreachable else Liveness.CONFIRMED, start)
-        return about.unreachable
+    def toggle(self, other, generation):
+        peer = self.exclusions.peers[other]
+        self.exclusions.update_peer(
+            other, Liveness.HEARD if peer.unreachable else Liveness.CONFIRMED, generation
+        )
+        return peer.unreachable
 
-    def look(self):
+    def send_due(self):
         """Send what is due, as gateways do after each event; return the messages."""
         self.exclusions.send_pending(0)
-        sent = []
-        for command in self.out:
+        messages = []
+        for command in self.sent:
             if isinstance(command, SendLearnRequest):
-                sent.append(("question", self.name, self.start, command.peer, command.number))
+                messages.append(("request", self.name, self.generation, command.peer, command.number))
             else:
-                word = command.to_generation, command.excluded, command.version
-                sent.append(("word", self.name, self.start, command.peer, *word))
-        self.out.clear()
-        return tuple(sent)
+                fields = command.to_generation, command.excluded, command.version
+                messages.append(("announce", self.name, self.generation, command.peer, *fields))
+        self.sent.clear()
+        return tuple(messages)
 
-    def again(self):
+    def resend(self):
         """Let all deadlines pass, so that unanswered messages are sent again."""
         for other in self.exclusions.peers.values():
             other.resend_at = 0
             if other.read is not None:
                 other.read.deadline = 0
 
-    def begin(self, heard):
+    def begin(self, reachable):
         """End the claims that were pending at the last death; report reachable gateways."""
         self.exclusions.earlier_claims_settled = True
-        for name, start in heard:
-            self.exclusions.update_peer(name, Liveness.HEARD, start)
+        for name, generation in reachable:
+            self.exclusions.update_peer(name, Liveness.HEARD, generation)
 
-    def question(self, name, start, number):
-        self.exclusions.note_generation(name, start)
-        unready, covered = self.exclusions.describe_for(name)
+    def request(self, name, generation, number):
+        self.exclusions.note_generation(name, generation)
+        not_voting_with, vouched_for = self.exclusions.describe_for(name)
         record = (self.record.owner, self.record.number) if self.record.owner else None
-        return LearnReply(self.name, (), False, True, number, self.start, unready, covered), record
+        return LearnReply(
+            self.name, (), False, True, number, self.generation, not_voting_with, vouched_for
+        ), record
 
-    def word(self, name, start, to, names, version):
-        self.exclusions.note_generation(name, start)
-        return self.exclusions.record_exclusions(name, start, version, names) if to == self.start else -1
+    def announce(self, name, generation, to_generation, excluded, version):
+        self.exclusions.note_generation(name, generation)
+        return (
+            self.exclusions.record_exclusions(name, generation, version, excluded)
+            if to_generation == self.generation
+            else -1
+        )
 
-    def answer(self, event, record):
+    def reply(self, event, record):
         if record:
             self.record = merge_known_claim(self.record, *record)
         self.exclusions.handle_learn_reply(0, event)
 
-    def asided(self, peer, booked):
-        self.exclusions.handle_acknowledgement(0, ExclusionsAcknowledged(peer, booked))
+    def acknowledge(self, peer, recorded_version):
+        self.exclusions.handle_acknowledgement(0, ExclusionsAcknowledged(peer, recorded_version))
 
-    def about(self):
+    def summary(self):
         """Return whether it votes on the key, has begun and waits for replies, and its generation."""
         rows = self.exclusions.peers.values()
         waits = any(other.resend_at or other.read is not None for other in rows)
@@ -145,155 +153,170 @@
             self.exclusions.may_vote_with(self.others),
             self.exclusions.earlier_claims_settled,
             waits,
-            self.start,
+            self.generation,
         )
 
 
-class Machines:
+class ProcessStates:
     """All states of all processes, by number."""
 
     def __init__(self):
-        self.states, self.numbers, self.steps, self.abouts, self.sizes = [], {}, {}, [], []
+        self.states, self.numbers, self.steps, self.summaries, self.sizes = [], {}, {}, [], []
 
-    def keep(self, life):
-        key = life.key()
+    def add(self, process):
+        key = process.state_key()
         if key not in self.numbers:
             self.numbers[key] = len(self.states)
-            self.states.append(pickle.dumps(life))
-            self.abouts.append(life.about())
-            words = max(other.version for other in life.exclusions.peers.values())
-            self.sizes.append((words, life.exclusions._last_request))
+            self.states.append(pickle.dumps(process))
+            self.summaries.append(process.summary())
+            version = max(other.version for other in process.exclusions.peers.values())
+            self.sizes.append((version, process.exclusions._last_request))
         return self.numbers[key]
 
-    def take(self, number, event):
+    def handle(self, number, event):
         step = number, event
         if step not in self.steps:
-            life = pickle.loads(self.states[number])
-            told = getattr(life, event[0])(*event[1:])
-            sent = life.look() if life.exclusions.earlier_claims_settled else ()
-            self.steps[step] = self.keep(life), told, sent
+            process = pickle.loads(self.states[number])
+            result = getattr(process, event[0])(*event[1:])
+            sent = process.send_due() if process.exclusions.earlier_claims_settled else ()
+            self.steps[step] = self.add(process), result, sent
         return self.steps[step]
 
-    def new(self, name, start):
-        return self.keep(Life(name, start))
+    def new(self, name, generation):
+        return self.add(Process(name, generation))
 
 
-def put(all_, place, one):
-    return (*all_[:place], one, *all_[place + 1 :])
+def replace_at(items, index, item):
+    return (*items[:index], item, *items[index + 1 :])
 
 
 def successors(state, machines):
     """Yield (step, state) for each event that may happen."""
-    lives, votes, closed, net, deaths, flips = state
-    about = [machines.abouts[each] for each in lives]
+    processes, votes, closed, in_flight, deaths, toggles = state
+    summaries = [machines.summaries[each] for each in processes]
 
     def after(place, event):
-        number, told, sent = machines.take(lives[place], event)
-        return put(lives, place, number), told, carried(net, NAMES[place], sent)
+        number, told, sent = machines.handle(processes[place], event)
+        return replace_at(processes, place, number), told, with_messages(in_flight, NAMES[place], sent)
 
     for claim in (0, 1) if votes[0] or closed[0] else (0,):  # the two claims are alike
         for place, name in enumerate(NAMES):
-            if not closed[claim] and about[place][0] and all(name != each for each, _ in votes[claim]):
+            if not closed[claim] and summaries[place][0] and all(name != each for each, _ in votes[claim]):
                 now, told, _ = after(place, ("vote", "pq"[claim]))
                 if told is None:
                     continue  # refused: nothing changes
-                cast = put(votes, claim, tuple(sorted((*votes[claim], (name, told)), key=str)))
-                yield ("vote", "pq"[claim], name, told), (now, cast, closed, net, deaths, flips)
-    for name, other in flips:
-        now, out, left = after(NAMES.index(name), ("flip", other, about[NAMES.index(other)][3]))
-        rest = flips if out else tuple(each for each in flips if each != (name, other))
-        yield ("flip", name, other, out), (now, votes, closed, left, deaths, rest)
+                cast = replace_at(votes, claim, tuple(sorted((*votes[claim], (name, told)), key=str)))
+                yield ("vote", "pq"[claim], name, told), (now, cast, closed, in_flight, deaths, toggles)
+    for name, other in toggles:
+        now, was_unreachable, left = after(
+            NAMES.index(name), ("toggle", other, summaries[NAMES.index(other)][3])
+        )
+        rest = toggles if was_unreachable else tuple(each for each in toggles if each != (name, other))
+        yield ("toggle", name, other, was_unreachable), (now, votes, closed, left, deaths, rest)
     for place, name in enumerate(NAMES):
-        if not about[place][1]:  # claims that were pending have ended
-            over = tuple(bool(each) or was for each, was in zip(votes, closed, strict=True))
-            kept = tuple(each if owned(each) else () for each in votes)
-            unsure = {other for each, other in UNSURE if each == name}
-            heard = tuple((o, about[at][3]) for at, o in enumerate(NAMES) if o not in unsure | {name})
-            now, _, left = after(place, ("begin", heard))
-            yield ("begin", name), (now, kept, over, left, deaths, flips)
-        elif about[place][2]:
-            now, _, left = after(place, ("again",))
-            yield ("again", name), (now, votes, closed, left, deaths, flips)
-    for message in net:
-        yield from come(message, state, machines)
-    if deaths and all(each[0] for each in about):
+        if not summaries[place][1]:  # claims that were pending have ended
+            decided = tuple(bool(each) or was for each, was in zip(votes, closed, strict=True))
+            kept_votes = tuple(each if is_owned(each) else () for each in votes)
+            uncertain = {other for each, other in UNCERTAIN if each == name}
+            reachable = tuple(
+                (o, summaries[at][3]) for at, o in enumerate(NAMES) if o not in uncertain | {name}
+            )
+            now, _, left = after(place, ("begin", reachable))
+            yield ("begin", name), (now, kept_votes, decided, left, deaths, toggles)
+        elif summaries[place][2]:
+            now, _, left = after(place, ("resend",))
+            yield ("resend", name), (now, votes, closed, left, deaths, toggles)
+    for message in in_flight:
+        yield from deliver(message, state, machines)
+    if deaths and all(each[0] for each in summaries):
         place = NAMES.index(deaths[0])
-        born = machines.new(deaths[0], about[place][3] + 1)
-        left = frozenset(m for m in net if m[0] == "word" or deaths[0] not in (m[1], m[3]))
-        yield ("die", deaths[0]), (put(lives, place, born), votes, closed, left, deaths[1:], flips)
+        restarted = machines.new(deaths[0], summaries[place][3] + 1)
+        left = frozenset(m for m in in_flight if m[0] == "announce" or deaths[0] not in (m[1], m[3]))
+        yield (
+            ("die", deaths[0]),
+            (replace_at(processes, place, restarted), votes, closed, left, deaths[1:], toggles),
+        )
 
 
-def carried(net, name, sent):
+def with_messages(in_flight, name, sent):
     """Return the messages in flight after a send; a repeated learn request replaces the first."""
     if not sent:
-        return net
-    asked = {m[3] for m in sent if m[0] == "question"}
-    old = {m for m in net if m[0] == "question" and m[1] == name and m[3] in asked}
-    return net - old | frozenset(sent)
+        return in_flight
+    receivers = {m[3] for m in sent if m[0] == "request"}
+    old = {m for m in in_flight if m[0] == "request" and m[1] == name and m[3] in receivers}
+    return in_flight - old | frozenset(sent)
 
 
-def come(message, state, machines):
+def deliver(message, state, machines):
     """Yield the state after a message arrives; exclusions stay in flight, as they may arrive again."""
-    lives, votes, closed, net, deaths, flips = state
-    kind, name, start, peer, *rest = message
+    processes, votes, closed, in_flight, deaths, toggles = state
+    kind, name, generation, peer, *rest = message
     at, back = NAMES.index(peer), NAMES.index(name)
-    if kind == "answer":
-        now, _, sent = machines.take(lives[at], ("answer", *rest))
-        left = carried(net - {message}, peer, sent)
-        yield message, (put(lives, at, now), votes, closed, left, deaths, flips)
+    if kind == "reply":
+        now, _, sent = machines.handle(processes[at], ("reply", *rest))
+        left = with_messages(in_flight - {message}, peer, sent)
+        yield message, (replace_at(processes, at, now), votes, closed, left, deaths, toggles)
         return
-    now, told, sent = machines.take(lives[at], (kind, name, start, *rest))
-    lives, net = put(lives, at, now), carried(net, peer, sent)
-    if kind == "question":
-        left = net - {message} | {("answer", peer, start, name, *told)}
-        yield message, (lives, votes, closed, left, deaths, flips)
+    now, result, sent = machines.handle(processes[at], (kind, name, generation, *rest))
+    processes, in_flight = replace_at(processes, at, now), with_messages(in_flight, peer, sent)
+    if kind == "request":
+        left = in_flight - {message} | {("reply", peer, generation, name, *result)}
+        yield message, (processes, votes, closed, left, deaths, toggles)
         return
-    yield message, (lives, votes, closed, net, deaths, flips)
-    if machines.abouts[lives[back]][3] == start:
-        heard, _, sent = machines.take(lives[back], ("asided", peer, told))
-        left = carried(net, name, sent)
-        yield (*message, "heard"), (put(lives, back, heard), votes, closed, left, deaths, flips)
+    yield message, (processes, votes, closed, in_flight, deaths, toggles)
+    if machines.summaries[processes[back]][3] == generation:
+        acknowledged, _, sent = machines.handle(processes[back], ("acknowledge", peer, result))
+        left = with_messages(in_flight, name, sent)
+        yield (
+            (*message, "acknowledged"),
+            (replace_at(processes, back, acknowledged), votes, closed, left, deaths, toggles),
+        )
 
 
-def owned(cast):
-    return count_compatible_votes(dict(cast)) > 1
+def is_owned(votes):
+    return count_compatible_votes(dict(votes)) > 1
 
 
-def idle(message, state, machines):
+def has_no_effect(message, state, machines):
     """Return whether another arrival of exclusions changes nothing: they or later ones arrived already."""
-    if message[0] != "word":
+    if message[0] != "announce":
         return False
-    lives = state[0]
-    kind, name, start, peer, *rest = message
-    now, told, sent = machines.take(lives[NAMES.index(peer)], (kind, name, start, *rest))
-    if now != lives[NAMES.index(peer)] or sent:
+    processes = state[0]
+    kind, name, generation, peer, *rest = message
+    now, result, sent = machines.handle(processes[NAMES.index(peer)], (kind, name, generation, *rest))
+    if now != processes[NAMES.index(peer)] or sent:
         return False
-    at = lives[NAMES.index(name)]
-    return machines.abouts[at][3] != start or machines.take(at, ("asided", peer, told))[0] == at
+    at = processes[NAMES.index(name)]
+    return (
+        machines.summaries[at][3] != generation or machines.handle(at, ("acknowledge", peer, result))[0] == at
+    )
 
 
-def bounded(state, machines, words, asked):
+def is_within_limits(state, machines, max_version, max_requests):
     """Return whether no process sent more exclusions to one peer, or learn requests in all, than that."""
-    return all(machines.sizes[each][0] <= words and machines.sizes[each][1] <= asked for each in state[0])
+    return all(
+        machines.sizes[each][0] <= max_version and machines.sizes[each][1] <= max_requests
+        for each in state[0]
+    )
 
 
-def walk(deaths, flips, words=1, asked=2, most=3_000_000):
+def walk(deaths, toggles, max_version=1, max_requests=2, most=3_000_000):
     """Explore all states and return their number; a state with two owners raises with the path to it."""
-    machines = Machines()
-    lives = tuple(machines.take(machines.new(name, 1), ("first",))[0] for name in NAMES)
-    first = lives, ((), ()), (False, False), frozenset(), deaths, flips
+    machines = ProcessStates()
+    processes = tuple(machines.handle(machines.new(name, 1), ("boot",))[0] for name in NAMES)
+    first = processes, ((), ()), (False, False), frozenset(), deaths, toggles
     seen, front = {first: None}, [first]
     while front:
         state = front.pop()
         for step, after in successors(state, machines):
-            if not bounded(after, machines, words, asked):
+            if not is_within_limits(after, machines, max_version, max_requests):
                 continue
-            left = frozenset(each for each in after[3] if not idle(each, after, machines))
+            left = frozenset(each for each in after[3] if not has_no_effect(each, after, machines))
             after = (*after[:3], left, *after[4:])
             if after in seen:
                 continue
             seen[after] = state, step
-            if owned(after[1][0]) and owned(after[1][1]):
+            if is_owned(after[1][0]) and is_owned(after[1][1]):
                 path = []
                 while seen[after] is not None:
                     after, step = seen[after]
@@ -304,11 +327,11 @@
     return len(seen)
 
 
-def play(path):
+def follow(path):
     """Follow steps given by their first fields; return the last state, or the step that is not possible."""
-    machines = Machines()
-    lives = tuple(machines.take(machines.new(name, 1), ("first",))[0] for name in NAMES)
-    state = lives, ((), ()), (False, False), frozenset(), ("w", "w"), (WX, WA)
+    machines = ProcessStates()
+    processes = tuple(machines.handle(machines.new(name, 1), ("boot",))[0] for name in NAMES)
+    state = processes, ((), ()), (False, False), frozenset(), ("w", "w"), (W_ABOUT_X, W_ABOUT_A)
     for wanted in path:
         here = [after for step, after in successors(state, machines) if step[: len(wanted)] == wanted]
         if not here:
@@ -321,96 +344,99 @@
     """Replace the module's code by a mutant whose source has `new` for `old`."""
     source = inspect.getsource(exclusions)
     assert source.count(old) == 1, old
-    made = types.ModuleType("mutant")
-    made.__dict__.update(exclusions.__dict__)
-    monkeypatch.setitem(sys.modules, "mutant", made)
-    exec(compile(source.replace(old, new), "mutant", "exec"), made.__dict__)
+    mutant = types.ModuleType("mutant")
+    mutant.__dict__.update(exclusions.__dict__)
+    monkeypatch.setitem(sys.modules, "mutant", mutant)
+    exec(compile(source.replace(old, new), "mutant", "exec"), mutant.__dict__)
     for each in ("Exclusions", "_Peer", "_Vouching", "_PendingRead", "_save_immediately"):
-        getattr(made, each).__module__ = "mutant"
-    made.RESEND_INTERVAL_US = 1
-    monkeypatch.setitem(globals(), "Exclusions", made.Exclusions)
+        getattr(mutant, each).__module__ = "mutant"
+    mutant.RESEND_INTERVAL_US = 1
+    monkeypatch.setitem(globals(), "Exclusions", mutant.Exclusions)
 
 
-def owns(claim, *names):
+def votes_for(claim, *names):
     return [("vote", claim, name) for name in names]
 
 
-def starts(asked):
+def restart(requests):
     """Return the steps in which w dies, restarts and gets a reply from one peer."""
     return [
         ("die", "w"),
         ("begin", "w"),
-        *[("question", "w", start, other) for start, other in asked],
-        ("answer", asked[0][1]),
+        *[("request", "w", start, other) for start, other in requests],
+        ("reply", requests[0][1]),
     ]
 
 
-AWAY, BACK = ("flip", "w", "x", True), ("flip", "w", "x", False)
-READ = [("question", "a", 1, "w"), ("answer", "w", 1, "a")]
-COVER = [AWAY, ("word", "w", 1, "a"), *READ]
+UNREACHABLE, REACHABLE = ("toggle", "w", "x", True), ("toggle", "w", "x", False)
+READ = [("request", "a", 1, "w"), ("reply", "w", 1, "a")]
+EXCLUDE_X = [UNREACHABLE, ("announce", "w", 1, "a"), *READ]
 WRONG = {
-    "votes count together with those held aside": (
+    "votes are combined with those of excluded witnesses": (
         "return tuple(a for a in peers if any(a in self.peers[b].excluded for b in peers))",
         "return ()",
-        [*COVER, *owns("p", "w", "x"), *starts([(2, "a")]), *owns("q", "w", "a")],
+        [*EXCLUDE_X, *votes_for("p", "w", "x"), *restart([(2, "a")]), *votes_for("q", "w", "a")],
     ),
-    "a promise ends with the process that gave it": (
-        "            other.excluded |= covered\n",
+    "exclusions end with the process that announced them": (
+        "            peer.excluded |= vouched_for\n",
         "",
-        [*COVER, *starts([(2, "a")]), *owns("p", "w", "x"), *starts([(3, "a")]), *owns("q", "w", "a")],
+        [*EXCLUDE_X, *restart([(2, "a")]), *votes_for("p", "w", "x"), *restart([(3, "a")]),
+         *votes_for("q", "w", "a")],
     ),
-    "what was granted before is not read": (
-        "vouching.unread = told - vouching.vouched_for",
-        "vouching.vouched_for = told",
-        [*owns("p", "w", "x"), AWAY, ("word", "w", 1, "a"), *starts([(2, "a")]), *owns("q", "w", "a")],
+    "earlier grants are not read": (
+        "vouching.unread = announced - vouching.vouched_for",
+        "vouching.vouched_for = announced",
+        [*votes_for("p", "w", "x"), UNREACHABLE, ("announce", "w", 1, "a"), *restart([(2, "a")]),
+         *votes_for("q", "w", "a")],
     ),
-    "an overtaken word is booked": (
+    "an overtaken message is recorded": (
         "if version > vouching.version:",
         "if True:",
-        [AWAY, BACK, ("again", "w"), ("word", "w", 1, "a", 1, (), 2, "heard"),
-         ("word", "w", 1, "a", 1, ("x",)), *READ,
-         *owns("p", "w", "x"), *starts([(2, "a")]), *owns("q", "w", "a")],
+        [UNREACHABLE, REACHABLE, ("resend", "w"), ("announce", "w", 1, "a", 1, (), 2, "acknowledged"),
+         ("announce", "w", 1, "a", 1, ("x",)), *READ,
+         *votes_for("p", "w", "x"), *restart([(2, "a")]), *votes_for("q", "w", "a")],
     ),
-    "each of two is held aside towards the other": (
+    "two gateways are excluded towards each other": (
         "(name not in self.peers[each].excluded and self.may_vote_with((name, each)))",
         "self.may_vote_with((name, each))",
-        [("flip", "w", "a", True), ("word", "w", 1, "x", 1, ("a",), 1, "heard"), ("question", "x", 1, "w"),
-         ("answer", "w", 1, "x"), ("flip", "w", "a", False), AWAY, ("word", "w", 1, "a"), *READ,
-         *starts([(2, "a")]), *owns("p", "w", "a"), *starts([(3, "x")]), *owns("q", "w", "x")],
+        [("toggle", "w", "a", True), ("announce", "w", 1, "x", 1, ("a",), 1, "acknowledged"),
+         ("request", "x", 1, "w"), ("reply", "w", 1, "x"), ("toggle", "w", "a", False), UNREACHABLE,
+         ("announce", "w", 1, "a"), *READ,
+         *restart([(2, "a")]), *votes_for("p", "w", "a"), *restart([(3, "x")]), *votes_for("q", "w", "x")],
     ),
-    "one that is learning is read for whole": (
+    "a learning gateway is taken as complete": (
         "and self.may_vote_with((name, each)))",
         "and True)",
-        [*owns("p", "w", "x"), ("die", "w"), ("begin", "w"), ("flip", "w", "a", False),
-         ("word", "w", 2, "a"), ("question", "a", 1, "w"), ("answer", "w", 1, "a"),
-         ("question", "w", 2, "a"), ("answer", "a", 2, "w"), *owns("q", "w", "a")],
+        [*votes_for("p", "w", "x"), ("die", "w"), ("begin", "w"), ("toggle", "w", "a", False),
+         ("announce", "w", 2, "a"), ("request", "a", 1, "w"), ("reply", "w", 1, "a"),
+         ("request", "w", 2, "a"), ("reply", "a", 2, "w"), *votes_for("q", "w", "a")],
     ),
 }  # fmt: skip
 
 
 @pytest.fixture(autouse=True)
-def _asked_again_by_the_world(monkeypatch):
+def _resend_at_each_step(monkeypatch):
     monkeypatch.setattr(exclusions, "RESEND_INTERVAL_US", 1)
 
 
-def two_own(state):
-    return isinstance(state[0], tuple) and all(owned(each) for each in state[1])
+def has_two_owners(state):
+    return isinstance(state[0], tuple) and all(is_owned(each) for each in state[1])
 
 
 @pytest.mark.parametrize("fault", WRONG)
-def test_each_defence_is_needed_on_some_way(monkeypatch, fault):
+def test_each_protection_is_needed_on_some_path(monkeypatch, fault):
     old, new, path = WRONG[fault]
-    assert not two_own(play(path))
+    assert not has_two_owners(follow(path))
     mutate(monkeypatch, old, new)
-    after = play(path)
-    assert two_own(after), after
+    after = follow(path)
+    assert has_two_owners(after), after
 
 
-def test_every_state_has_one_owner_at_most_while_one_is_out_of_reach_and_another_starts():
-    assert walk(("w",), (WX,)) > 10_000
+def test_every_state_has_one_owner_at_most_while_one_is_unreachable_and_another_restarts():
+    assert walk(("w",), (W_ABOUT_X,)) > 10_000
 
 
 if __name__ == "__main__":  # two deaths, of one gateway or of two gateways
     exclusions.RESEND_INTERVAL_US = 1
     for deaths in (("w", "w"), ("w", "a")):
-        print(deaths, walk(deaths, (WX,)), "states", flush=True)
+        print(deaths, walk(deaths, (W_ABOUT_X,)), "states", flush=True)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,7 @@
     return sorted(entry.cell for entry in merger.merged.values() if entry.state is READY)
 
 
-def test_a_list_half_empty_for_a_moment_empties_nothing_and_a_lasting_one_is_believed_in_the_end():
+def test_a_list_half_empty_for_a_moment_is_held_back_and_a_lasting_one_is_applied_in_the_end():
     merger = Merger(("registry",))
     merger.update_source(T0, "registry", version(*range(10)))
     assert merger.update_source(T0 + S, "registry", version(*range(5))) == []
@@ -42,7 +42,7 @@
     assert len(merger.tick(due)) == 5 and ready(merger) == list(range(5))
 
 
-def test_an_empty_list_is_held_back_too_and_a_few_losses_are_believed_at_once():
+def test_an_empty_list_is_held_back_too_and_a_few_losses_are_applied_at_once():
     merger = Merger(("file",))
     merger.update_source(T0, "file", version(*range(10)))
     assert merger.update_source(T0 + S, "file", ()) == [] and len(ready(merger)) == 10
@@ -50,7 +50,7 @@
     assert ready(merger) == list(range(8))
 
 
-def test_an_explicit_drain_or_gone_is_taken_at_once_even_from_a_version_that_is_held_back():
+def test_an_explicit_drain_or_removal_is_applied_at_once_even_from_a_version_that_is_held_back():
     merger = Merger(("registry", "file"))
     merger.update_source(T0, "registry", version(*range(10)))
     merger.update_source(T0, "file", version(*range(10)))
@@ -76,7 +76,7 @@
     assert ready(two) == [0, 1, 2]
 
 
-def test_a_source_that_fails_keeps_its_last_version_and_says_why():
+def test_a_source_that_fails_keeps_its_last_version_and_its_fault():
     merger = Merger(("registry",))
     merger.update_source(T0, "registry", version(0, 1))
     assert merger.mark_failed(T0 + 600 * S, "registry", "no answer") == [] and ready(merger) == [0, 1]
@@ -96,7 +96,7 @@
     assert due == now + STEADY_US and merger.tick(due) and ready(merger) == [0, 1, 2, 3]
 
 
-def test_a_restart_is_told_with_the_latest_start_of_all_sources():
+def test_a_restart_is_reported_with_the_latest_start_of_all_sources():
     merger = Merger(("registry", "file"))
     merger.update_source(T0, "registry", (replace(server_entry(0), started=5),))
     merger.update_source(T0, "file", (replace(server_entry(0), started=9, weight=7.0),))
@@ -115,7 +115,7 @@
 
 
 @given(STEPS)
-def test_whatever_sources_say_only_listed_servers_are_used_and_a_word_to_stop_is_heeded(steps):
+def test_whatever_sources_report_only_listed_servers_are_used_and_drains_are_applied(steps):
     merger, now, listed, last = Merger(("a", "b")), T0, set(), {}
     for name, rows, gap in steps:
         now += gap
@@ -191,7 +191,7 @@
     assert watch.good[-1] == [4]
 
 
-def test_each_wrong_version_is_told_once_with_its_place_and_not_taken(tmp_path):
+def test_each_invalid_version_is_reported_once_with_its_place_and_not_applied(tmp_path):
     watch = Watch(tmp_path)
     watch.path.write_bytes(text(1))
     watch.run(1)
