--- a/mintmast/peers/transport.py
+++ b/mintmast/peers/transport.py
@@ -124,9 +124,9 @@
         """Send a claim to a witness; the vote is reported exactly once, after this returns."""
 
         def finish(reply: ReplyBody | None) -> None:
-            body = ReplyBody() if reply is None else reply
+            received = ReplyBody() if reply is None else reply
             self._events.handle_reply(
-                VoteReceived(call.peer, call.number, Vote(body.vote), body.without, body.start)
+                VoteReceived(call.peer, call.number, Vote(received.vote), received.without, received.start)
             )
 
         body = self._body(digest=call.digest, number=call.number, keep_ms=call.retention // 1000)
@@ -169,7 +169,7 @@
     def request_revisions(
         self, peer: str | Address, call: PullRevisions, on_reply: Callable[[PullSucceeded | PullFailed], None]
     ) -> None:
-        """Request revisions from a gateway, by name or address; `on_reply` is called once, later.
+        """Request revisions from a gateway, by name or address; `on_reply` is called asynchronously, once.
 
         The call carries no digest of the members: configuration must reach gateways whose lists differ.
         """
