--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The list of servers: merging, files caught at any moment, and what reaches the hosts."""
+"""The list of servers: merged sources, files read at any moment, and the hosts that get set-ups."""
 
 import json
 import os
@@ -29,7 +29,7 @@
     return sorted(entry.cell for entry in merger.merged.values() if entry.state is READY)
 
 
-def test_a_list_half_empty_for_a_moment_empties_nothing_and_a_lasting_one_is_believed_in_the_end():
+def test_a_list_half_empty_for_a_moment_is_held_back_and_a_lasting_one_is_applied_in_the_end():
     merger = Merger(("registry",))
     merger.update_source(T0, "registry", version(*range(10)))
     assert merger.update_source(T0 + S, "registry", version(*range(5))) == []
@@ -42,7 +42,7 @@
     assert len(merger.tick(due)) == 5 and ready(merger) == list(range(5))
 
 
-def test_an_empty_list_is_held_back_too_and_a_few_losses_are_believed_at_once():
+def test_an_empty_list_is_held_back_too_and_a_few_losses_are_applied_at_once():
     merger = Merger(("file",))
     merger.update_source(T0, "file", version(*range(10)))
     assert merger.update_source(T0 + S, "file", ()) == [] and len(ready(merger)) == 10
@@ -50,7 +50,7 @@
     assert ready(merger) == list(range(8))
 
 
-def test_an_explicit_drain_or_gone_is_taken_at_once_even_from_a_version_that_is_held_back():
+def test_an_explicit_drain_or_removal_is_applied_at_once_even_from_a_version_that_is_held_back():
     merger = Merger(("registry", "file"))
     merger.update_source(T0, "registry", version(*range(10)))
     merger.update_source(T0, "file", version(*range(10)))
@@ -58,7 +58,7 @@
     merger.update_source(T0 + S, "registry", told)
     assert ready(merger) == [0, 1, 4, 5, 6, 7, 8, 9]
     merger.update_source(T0 + 2 * S, "file", (*version(0, 1, 2, 3, 4, 5, 6, 7, 8), server_entry(9, DRAINING)))
-    assert 9 not in ready(merger)  # one source's drain stands against the other's ready
+    assert 9 not in ready(merger)  # one source's drain overrides the other's ready
 
 
 def test_hosts_that_refuse_connections_or_a_second_source_confirm_a_large_loss():
@@ -72,11 +72,11 @@
     two = Merger(("registry", "file"))
     two.update_source(T0, "registry", version(*range(6)))
     two.update_source(T0, "file", version(0, 1, 2))
-    two.update_source(T0 + S, "registry", version(0, 1, 2))  # the file has never had the others
+    two.update_source(T0 + S, "registry", version(0, 1, 2))  # the file never had the others
     assert ready(two) == [0, 1, 2]
 
 
-def test_a_source_that_fails_keeps_its_last_version_and_says_why():
+def test_a_source_that_fails_keeps_its_last_version_and_its_fault():
     merger = Merger(("registry",))
     merger.update_source(T0, "registry", version(0, 1))
     assert merger.mark_failed(T0 + 600 * S, "registry", "no answer") == [] and ready(merger) == [0, 1]
@@ -96,12 +96,12 @@
     assert due == now + STEADY_US and merger.tick(due) and ready(merger) == [0, 1, 2, 3]
 
 
-def test_a_restart_is_told_with_the_latest_start_of_all_sources():
+def test_a_restart_is_reported_with_the_latest_start_of_all_sources():
     merger = Merger(("registry", "file"))
     merger.update_source(T0, "registry", (replace(server_entry(0), started=5),))
     merger.update_source(T0, "file", (replace(server_entry(0), started=9, weight=7.0),))
     entry = merger.merged[server_entry(0).server]
-    assert entry.started == 9 and entry.weight == 1.0  # the first source tells the rest
+    assert entry.started == 9 and entry.weight == 1.0  # other attributes come from the first source
 
 
 STEPS = st.lists(
@@ -115,7 +115,7 @@
 
 
 @given(STEPS)
-def test_whatever_sources_say_only_listed_servers_are_used_and_a_word_to_stop_is_heeded(steps):
+def test_whatever_sources_report_only_listed_servers_are_used_and_drains_are_applied(steps):
     merger, now, listed, last = Merger(("a", "b")), T0, set(), {}
     for name, rows, gap in steps:
         now += gap
@@ -138,7 +138,7 @@
 
 
 class Watch:
-    """A watched file on a virtual clock and a real folder."""
+    """A watched file in a real folder on a virtual clock."""
 
     def __init__(self, folder):
         self.world = World(1)
@@ -191,7 +191,7 @@
     assert watch.good[-1] == [4]
 
 
-def test_each_wrong_version_is_told_once_with_its_place_and_not_taken(tmp_path):
+def test_each_invalid_version_is_reported_once_with_its_place_and_not_applied(tmp_path):
     watch = Watch(tmp_path)
     watch.path.write_bytes(text(1))
     watch.run(1)
@@ -244,7 +244,7 @@
         small.run(1)
 
     ask("a")
-    path.write_text(json.dumps({"servers": row})[:-1])  # half written: names the fourth
+    path.write_text(json.dumps({"servers": row})[:-1])  # half written, naming the fourth host
     small.run(2)
     ask("b")
     assert {each["host"] for each in small.seen("set_up_came")} == {f"host{n}:9000" for n in range(3)}
