--- a/mintmast/core/__init__.py
+++ b/mintmast/core/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions, neutral of any protocol: between the fronts, the decisions and the hosts."""
+"""The protocol-neutral core, which connects the fronts, the decisions and the host adapters."""
 
 from mintmast.core.ports import HostEvents, HostPort, ListSource, Order
 from mintmast.core.service import Core
--- a/mintmast/core/ports.py
+++ b/mintmast/core/ports.py
@@ -1,4 +1,4 @@
-"""The core's interfaces: what a host adapter, a source of the list and a front see of it."""
+"""The core's interfaces to host adapters, peer adapters, stores, list sources and fronts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, gc=False):
-    """A set-up as a host is asked for it; rates in kB a second, times in microseconds."""
+    """A set-up request to a host; rates in kB/s, times in microseconds."""
 
     session: str
     attempt: int
@@ -29,51 +29,51 @@
     lease: int
     paid: bool
     key: str
-    until: int  # time of the loop's clock at which the attempt is given up
-    number: int  # of the call, among those that give leases
-    moved_from: str  # the session that it takes the place of, "" for none
-    clock: int  # reading of the host's clock that the lease counts from, -1 for none
+    until: int  # time on the loop's clock at which the attempt times out
+    number: int  # sequence number among the calls that grant leases
+    moved_from: str  # the session that this one replaces, "" for none
+    clock: int  # reading of the host's clock from which the lease counts, -1 for none
 
 
 class HostEvents(Protocol):
-    """What a host tells by itself, as the core hears it."""
+    """Receives the unsolicited events of hosts."""
 
     def hello(self, server: bytes, process: str, age: int | None, drains: bool, clock: int) -> None:
-        """Take the first word on a new line; `age` and `clock` in microseconds, `clock` -1 for none."""
+        """Process an established event stream; `uptime` and `clock` in microseconds, `clock` -1 for none."""
 
     def tick(self, server: bytes, clock: int) -> None:
-        """Take a sign of life with a reading of the host's clock."""
+        """Process a periodic sign of life with a reading of the host's clock."""
 
     def lost(self, server: bytes, refused: bool) -> None:
-        """Take the end of a line, or a try in vain."""
+        """Process a broken event stream or a failed connection attempt."""
 
     def drain(self, server: bytes, drains: bool) -> None:
-        """Take a change of the drain state."""
+        """Process a change of the host's drain state."""
 
     def note(self, server: bytes, kind: NoteKind, value: float) -> None:
-        """Take a share delivered or a use."""
+        """Process a delivered share or a utilisation."""
 
     def ended(self, server: bytes, session: str) -> None:
-        """Take the end of a session."""
+        """Process the end of a session at the host."""
 
 
 class HostPort(Protocol):
-    """What speaks to media hosts. Every `done` is called exactly once, never before the call returns."""
+    """The adapter to media hosts. Every `done` is called exactly once, never before the method returns."""
 
     def attach(self, events: HostEvents) -> None:
-        """Tell who hears what hosts say."""
+        """Set the receiver of the hosts' events."""
 
     def set_up(self, order: Order, done: Callable[[Evidence, Told], None]) -> None:
-        """Ask a host for a session; by `order.until` at the latest the evidence is told."""
+        """Request a session from a host; `done` receives the evidence by `request.until` at the latest."""
 
     def call_off(self, session: str, attempt: int) -> None:
-        """Break off a set-up; its evidence is told as called off."""
+        """Cancel a set-up; its `done` receives the evidence of a cancelled attempt."""
 
     def rung(self, server: bytes, session: str, epoch: int, rung: int, kb: float) -> None:
-        """Tell a host the rung of a session."""
+        """Set the rung of a session at a host."""
 
     def end(self, server: bytes, session: str, epoch: int, until: int, done: Callable[[bool], None]) -> None:
-        """End a session's epochs up to this one; `done` hears whether that is sure."""
+        """Terminate a session's epochs up to this one; `done` receives whether the host confirmed it."""
 
     def renew(
         self,
@@ -87,8 +87,8 @@
     ) -> None:
         """Renew leases of (session, epoch, rung, kB a second).
 
-        `done` hears whether it was answered, whether it may have arrived, which are unknown there, and the
-        load.
+        `done` receives whether the host replied, whether the call may have arrived, the sessions unknown to
+        the host, and the host's status.
         """
 
     def settle(
@@ -101,69 +101,69 @@
         clock: int,
         done: Callable[[int, tuple[tuple[str, Word, int], ...], Told], None],
     ) -> None:
-        """Ask after sessions (by name, with the epoch) of earlier lives, and take over those which play.
+        """Query sessions (by name, with the epoch) of earlier generations and take over those that play.
 
-        `done` hears from when on the host remembers (its clock, µs, -1 for no answer), and of each session
-        its word and its rung.
+        `done` receives from when on the host remembers sessions (its clock, µs, -1 for no reply), the host's
+        report and the rung of each session, and the host's status.
         """
 
     def watch(self, server: bytes) -> None:
-        """Open the line on which a host tells what happens; its end is told by `lost`."""
+        """Open a host's event stream; `HostEvents.host_disconnected` reports its end."""
 
     def unwatch(self, server: bytes) -> None:
-        """Close that line; nothing more is told of it."""
+        """Close a host's event stream without a further event."""
 
 
 class PeerEvents(Protocol):
-    """What the core hears from other gateways."""
+    """Receives the calls of other gateways and the results of calls to them."""
 
     def called(self, call: talk.PeerCall, answer: Callable[[talk.PeerReply], None]) -> None:
-        """Answer another gateway's call: `answer` is called once, maybe before this returns."""
+        """Process another gateway's call; `answer` is called once, possibly before this returns."""
 
     def heard(self, event: talk.Voted | talk.Learnt | talk.AsideTold) -> None:
-        """Take the end of a call."""
+        """Process the end of a call to another gateway."""
 
 
 class PeerPort(Protocol):
-    """What speaks to other gateways. Each call's end is told once, never before the call returns."""
+    """The adapter to other gateways; reports each call's end once, never before the method returns."""
 
     def claim(self, call: talk.SendClaim) -> None:
-        """Claim a key at a witness."""
+        """Send a claim of a key to a witness."""
 
     def release(self, call: talk.SendRelease) -> None:
-        """Give a claim back; nobody hears of its end."""
+        """Release a claim; its end is not reported."""
 
     def learn(self, call: talk.SendLearn) -> None:
-        """Ask what another gateway knows."""
+        """Request another gateway's records."""
 
     def aside(self, call: talk.SendAside) -> None:
-        """Tell another gateway who is held aside."""
+        """Send another gateway the set of excluded gateways."""
 
 
 class StorePort(Protocol):
-    """What makes records durable; the end of a write that has a token is told once, by `Core.written`."""
+    """Makes records durable; `Core.handle_written` receives the end of each write that has a token, once."""
 
-    failing: str  # why writes fail, "" where they do not
-    size: tuple[int, int]  # bytes of the file, and those of them that hold nothing
+    failing: str  # why writes fail, "" if they do not
+    size: tuple[int, int]  # bytes of the file, and how many of them are unused
 
     def write(self, command: Write) -> None:
-        """Write these; nothing waits for it here."""
+        """Queue records for writing and return at once."""
 
     def close(self) -> None:
-        """Write what is left, and end."""
+        """Write the queued records and close the store."""
 
 
 class ListSource(Protocol):
-    """Where the list of servers comes from."""
+    """The source of the server list."""
 
     def start(self, tell: Callable[[ListKind, int, tuple[ListEntry, ...]], None]) -> None:
-        """Begin; `tell` hears each version, whole or as changes."""
+        """Start; `on_update` receives each version, either complete or as changes."""
 
     def refresh(self) -> None:
-        """Tell the whole list once more."""
+        """Report the complete list again."""
 
     def refuses(self, server: bytes, refuses: bool) -> None:
-        """Take a host's own evidence: it takes no connections, or does again."""
+        """Record evidence from a host itself: it refuses connections, or accepts them again."""
 
 
 AnswerTo = Callable[[msg.Give], None]
--- a/mintmast/core/service.py
+++ b/mintmast/core/service.py
@@ -1,4 +1,4 @@
-"""The core: feeds the session book what happens and carries out its commands. No choice is made here."""
+"""The core: passes events to the session book and executes its commands, without decisions of its own."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from mintmast.loop import Loop
 
 Line = Callable[..., None]
-# epochs for each millisecond of a start number: a gateway that restarts begins above every epoch it ever
-# gave, as long as it sends fewer set-ups a millisecond over its life than this
+# Epochs reserved for each millisecond of a generation number. A restarted gateway starts above every epoch
+# that it has used, as long as each generation sends fewer set-ups per millisecond of its run than this
 EPOCHS_A_MS = 1 << 10
 
 
@@ -33,9 +33,10 @@
 
 
 class Core:
-    """One gateway's sessions. `decide` is the module's `handle`; `catalogue` names what settings number.
+    """The sessions of one gateway.
 
-    `say(event, **fields)` takes log lines.
+    `decide` is the placement module's `handle`, `catalogue` has the names of what the settings number, and
+    `log(event, **fields)` writes a log line.
     """
 
     def __init__(
@@ -61,13 +62,13 @@
         self.book = SessionBook(
             settings, decide, lease, start * EPOCHS_A_MS, table, gateway, start, members, catalogue
         )
-        # figures that the classes of these sessions had when they were asked for, where they changed since
+        # settings of a session's class at the time of its request, if they have changed since
         self._begun: dict[int, api.ServiceClass] = {}
-        self._names: dict[int, str] = {}  # of sessions that an earlier life named
+        self._names: dict[int, str] = {}  # of sessions that an earlier generation named
         self._numbers: dict[str, int] = {}
         self._orders: dict[bytes, list[Callable[[bool], None]]] = {}
-        self.peers: PeerPort | None = None  # set where there are members
-        self.store: StorePort | None = None  # set where there is one
+        self.peers: PeerPort | None = None  # set if the gateway has peers
+        self.store: StorePort | None = None  # set if the gateway has a store
         self._answers: dict[int, Callable[[talk.PeerReply], None]] = {}
         self._asked: dict[int, _Asked] = {}
         self._polls: dict[int, SteerTo] = {}
@@ -98,16 +99,16 @@
         hosts.attach(self)
 
     def begin(self, kept: Recovered | None = None) -> None:
-        """Start, with what was kept of earlier lives: hear the list, open the lines to hosts."""
+        """Start, with the records of earlier generations; the list source begins to report hosts."""
         self._do(self.book.start(self.loop.now(), kept))
         self.source.start(self._news)
 
     def name(self, session: int) -> str:
-        """Give a session's name on wires: unique over gateways and their restarts."""
+        """Return a session's name on the wire, unique over all gateways and their restarts."""
         return self._names.get(session) or name_of(self.gateway, self.start_number, session)
 
     def number(self, name: str) -> int:
-        """Give the number of a session of this life, or found by it; 0 for any other name."""
+        """Return the number of a session of this generation or recovered by it; 0 for any other name."""
         if name in self._numbers:
             return self._numbers[name]
         prefix, _, number = name.rpartition("-")
@@ -115,7 +116,7 @@
         return int(number) if mine and number.isascii() and number.isdigit() and len(number) < 19 else 0
 
     def adopt(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings, between two turns; sessions keep the figures that they began with."""
+        """Apply new settings between two events; open sessions keep their class settings."""
         held = self.book.sessions.by_number
         self._begun = {number: each for number, each in self._begun.items() if number in held}
         before = self.settings.classes
@@ -128,13 +129,13 @@
         self.book.adopt(settings, catalogue)
 
     def service(self, session: int, place: int) -> api.ServiceClass:
-        """Give the figures of a session's class: those of the time when it was asked for."""
+        """Return the settings of a session's class as of the session's request."""
         return self._begun.get(session) or self.settings.classes[place]
 
     # Fronts
 
     def ask(self, ask: msg.Ask, answer: AnswerTo) -> int:
-        """Take a viewer's ask, whose number is filled in and given back; `answer` is called once."""
+        """Process a viewer's request and return the id assigned to it; `answer` is called once."""
         self._count += 1
         number = self._count
         self._asked[number] = _Asked(answer, self.loop.now())
@@ -142,12 +143,12 @@
         return number
 
     def gone(self, ask: int) -> None:
-        """Take note that nobody waits for the answer any more."""
+        """Cancel a request whose viewer no longer waits for the answer."""
         if self._asked.pop(ask, None) is not None:
             self._take(msg.AskGone(ask))
 
     def poll(self, session: str, buffer: int, budget: int, answer: SteerTo) -> int:
-        """Take a player's question where to go on; `buffer` and `budget` in µs. Gives the poll's number."""
+        """Process a player's steering poll and return the poll's id; `buffer` and `budget` in µs."""
         self._count += 1
         number = self._count
         self._polls[number] = answer
@@ -155,16 +156,16 @@
         return number
 
     def poll_gone(self, poll: int) -> None:
-        """Take note that the player waits no more."""
+        """Cancel a poll whose player no longer waits for the answer."""
         if self._polls.pop(poll, None) is not None:
             self._take(msg.PollGone(poll))
 
     def order_drain(
         self, server: bytes, on: bool, within: int | None, done: Callable[[bool], None] = lambda good: None
     ) -> bool:
-        """Drain a host by an operator's order, or take that back; False for a host that is on no list.
+        """Order a host to drain or revoke the order; return False if no list has the host.
 
-        It holds at once; `done` hears whether it would outlive this process, where there is a store.
+        The order is in force at once; `done` receives whether it is durable, if there is a store.
         """
         if server not in self.book.watch.hosts:
             return False
@@ -176,52 +177,52 @@
     # Hosts
 
     def hello(self, server: bytes, process: str, age: int | None, drains: bool, clock: int) -> None:
-        """Take a host's first word."""
+        """Process an established event stream."""
         self.say("host_up", host=server.decode(), process=process, age=age, drains=drains)
         self.source.refuses(server, False)
         self._take(msg.HostHello(server, process, age, drains, clock))
 
     def tick(self, server: bytes, clock: int) -> None:
-        """Take a sign of life."""
+        """Process a periodic sign of life."""
         self._take(msg.HostTick(server, clock))
 
     def lost(self, server: bytes, refused: bool) -> None:
-        """Take the end of a line."""
+        """Process a broken event stream or a failed connection attempt."""
         if refused:
             self.source.refuses(server, True)
         self._take(msg.HostLost(server, self._random.random(), refused))
 
     def drain(self, server: bytes, drains: bool) -> None:
-        """Take a change of the drain state."""
+        """Process a change of the host's drain state."""
         self.say("host_drains", host=server.decode(), drains=drains)
         self._take(msg.HostDrain(server, drains))
 
     def note(self, server: bytes, kind: api.NoteKind, value: float) -> None:
-        """Take a share delivered or a use."""
+        """Process a delivered share or a utilisation."""
         self._take(msg.HostNote(server, kind, value))
 
     def ended(self, server: bytes, session: str) -> None:
-        """Take the end of a session."""
+        """Process the end of a session at the host."""
         self._take(msg.SessionEnded(server, self.number(session)))
 
     # Other gateways
 
     def called(self, call: talk.PeerCall, answer: Callable[[talk.PeerReply], None]) -> None:
-        """Answer another gateway's call, once, when what the answer says is durable."""
+        """Process another gateway's call; `answer` is called once, when what the answer states is durable."""
         self._count += 1
         self._answers[self._count] = answer
         self._take(msgspec.structs.replace(call, call=self._count))
 
     def written(self, event: Written) -> None:
-        """Take the end of a write."""
+        """Process the end of a write."""
         self._take(event)
 
     def heard(self, event: talk.Voted | talk.Learnt | talk.AsideTold) -> None:
-        """Take the end of a call to another gateway."""
+        """Process the end of a call to another gateway."""
         self._take(event)
 
     def stands(self, event: talk.PeerStands | talk.Condemned) -> None:
-        """Take what membership tells."""
+        """Process an event of the membership protocol."""
         self._take(event)
 
     # Commands
@@ -323,7 +324,7 @@
 
     def _ordered(self, command: msg.Ordered) -> None:
         waiting = self._orders.get(command.server)
-        if waiting:  # one word for each order, in the order in which they were given
+        if waiting:  # each order is confirmed once, in the sequence in which they were given
             waiting.pop(0)(command.good)
         if not waiting:
             self._orders.pop(command.server, None)
--- a/mintmast/decisions/__init__.py
+++ b/mintmast/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateway decides beside the module: pure, with the time handed in and no I/O."""
+"""The gateway's decisions besides placement: pure state machines that receive the time and do no I/O."""
--- a/mintmast/decisions/messages.py
+++ b/mintmast/decisions/messages.py
@@ -1,7 +1,7 @@
-"""What goes into the session book and what comes out of it: types and nothing else.
+"""Events and commands of the session book: types without behaviour.
 
-All times are whole microseconds of the gateway's clock, rates kB a second; sessions, asks and polls are
-numbers of this gateway's life, `server` is a host's id as the list has it.
+Times are whole microseconds of the gateway's clock, rates are kB/s. Sessions, requests and polls are numbered
+within one generation (run of the gateway's process); `server` is a host's id in the server list.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Verdict(Enum):
-    """The one answer to an ask."""
+    """The answer to a viewer's request; each request gets exactly one."""
 
     PLAYS = "plays"
     REFUSED = "refused"
@@ -24,7 +24,7 @@
 
 
 class Told(msgspec.Struct, frozen=True, gc=False):
-    """What a host's word carries beside its matter: its load, a reading of its clock (µs, -1 for none)."""
+    """A host's load and a reading of its clock (µs, -1 for none), as its replies carry them."""
 
     load: tuple[float, ...] = ()
     clock: int = -1
@@ -33,13 +33,14 @@
 NOTHING = Told()
 
 
-# In: from fronts
+# Events from fronts
 
 
 class Ask(msgspec.Struct, frozen=True, gc=False):
-    """A front: a viewer asks; he waits `budget` µs, and `key` stays with him over his tries ("" for none).
+    """A front received a viewer's request for a session; the viewer waits `timeout` µs for the answer.
 
-    `best_rung` is the highest rung he can use, `length` the clip's length in µs (0 for not known or live).
+    `key` is the idempotency key that all retries of the viewer carry ("" for none), `best_rung` the highest
+    rung that the viewer can use, `length` the clip's length in µs (0 if unknown or live).
     """
 
     ask: int
@@ -57,13 +58,16 @@
 
 
 class AskGone(msgspec.Struct, frozen=True, gc=False):
-    """A front: the viewer waits no more."""
+    """A front reports that the viewer no longer waits for the answer."""
 
     ask: int
 
 
 class Poll(msgspec.Struct, frozen=True, gc=False):
-    """A front: a player asks where to go on, and waits `budget` µs; it holds `buffer` µs of media ahead."""
+    """A front received a player's steering poll; the player waits `timeout` µs.
+
+    The player has buffered `buffer` µs of media.
+    """
 
     poll: int
     session: int
@@ -72,16 +76,16 @@
 
 
 class PollGone(msgspec.Struct, frozen=True, gc=False):
-    """A front: the player waits no more for the answer to its poll."""
+    """A front reports that the player no longer waits for the answer to its poll."""
 
     poll: int
 
 
-# In: from hosts
+# Events from hosts
 
 
 class SetUpEnded(msgspec.Struct, frozen=True, gc=False):
-    """A host adapter: what was seen of a set-up; once for each sent."""
+    """A host adapter reports the end of a set-up attempt, once for each `SendSetUp`."""
 
     session: int
     attempt: int
@@ -90,7 +94,10 @@
 
 
 class EndEnded(msgspec.Struct, frozen=True, gc=False):
-    """A host adapter: a try to end a session is over; `sure` says that the host holds it no more."""
+    """A host adapter reports the end of an attempt to terminate a session.
+
+    `is_confirmed` is true if the host confirmed that it no longer holds the session.
+    """
 
     session: int
     server: bytes
@@ -98,10 +105,10 @@
 
 
 class Settled(msgspec.Struct, frozen=True, gc=False):
-    """A host adapter: a question after sessions of earlier lives, sent at `sent` (µs), is over.
+    """A host adapter reports the end of a query, sent at `sent_at` (µs), on earlier generations' sessions.
 
-    `words` are (session, the host's word, its rung), nothing where no answer came; `since` is from when on
-    the host remembers, on its own clock (µs, -1 for not told).
+    `reports` has (session, the host's report, its rung) and is empty if no answer came. `memory_since` is the
+    time on the host's own clock from which it remembers sessions (µs, -1 if not reported).
     """
 
     server: bytes
@@ -113,9 +120,10 @@
 
 
 class Renewed(msgspec.Struct, frozen=True, gc=False):
-    """A host adapter: a renewal's call, sent at `sent` (µs), is over; `unknown` the host does not hold.
+    """A host adapter reports the end of a lease renewal that it sent at `sent_at` (µs).
 
-    `arrived` is false where it provably never came to the host.
+    `arrived` is false only if the renewal provably never reached the host; the host does not hold the
+    sessions in `unknown_sessions`.
     """
 
     server: bytes
@@ -129,14 +137,17 @@
 
 
 class SessionEnded(msgspec.Struct, frozen=True, gc=False):
-    """A host: a session is over there."""
+    """A host reports that a session has ended there."""
 
     server: bytes
     session: int
 
 
 class HostHello(msgspec.Struct, frozen=True, gc=False):
-    """A host: the line stands; `age` is how long its process has run in µs, None for not told."""
+    """The event stream from a host is established.
+
+    `uptime` is how long the host's process has run in µs, None if not reported.
+    """
 
     server: bytes
     process: str
@@ -146,14 +157,18 @@
 
 
 class HostTick(msgspec.Struct, frozen=True, gc=False):
-    """A host: a sign of life, with a reading of its clock in µs."""
+    """A host's periodic sign of life, with a reading of its clock in µs."""
 
     server: bytes
     clock: int
 
 
 class HostLost(msgspec.Struct, frozen=True, gc=False):
-    """A host adapter: the line broke or was not to be had; `draw` is a random number from 0 to 1."""
+    """A host adapter reports that the event stream broke or could not be opened.
+
+    `random_fraction`, from 0 to 1, is the jitter of the reconnect; `refused` says that the host refused the
+    connection.
+    """
 
     server: bytes
     draw: float
@@ -161,28 +176,31 @@
 
 
 class HostDrain(msgspec.Struct, frozen=True, gc=False):
-    """A host: it drains, or drains no more."""
+    """A host reports that it started or stopped draining."""
 
     server: bytes
     drains: bool
 
 
 class HostNote(msgspec.Struct, frozen=True, gc=False):
-    """A host: a share delivered, or the use of its link or uplink (asked over given)."""
+    """A host reports the share of a session's rate that it delivers, or its link's or uplink's utilisation.
+
+    Utilisation is the requested rate divided by the capacity.
+    """
 
     server: bytes
     kind: api.NoteKind
     value: float
 
 
-# In: from other gateways
-
-
-# In: from operators, sources and the loop
+# Events from operators, list sources and the loop
 
 
 class Drain(msgspec.Struct, frozen=True, gc=False):
-    """An operator: drain a host, or take that back; `within` µs it is to be empty, None for not said."""
+    """An operator orders a host to drain or revokes the order.
+
+    The host should be empty in `within` µs; None means that no deadline was set.
+    """
 
     server: bytes
     on: bool
@@ -190,7 +208,7 @@
 
 
 class ListNews(msgspec.Struct, frozen=True, gc=False):
-    """A source of the list: news, whole or as changes."""
+    """A list source reports the server list, either complete or as changes."""
 
     kind: ListKind
     version: int
@@ -198,18 +216,19 @@
 
 
 class Due(msgspec.Struct, frozen=True, gc=False):
-    """The loop: a `Wake` has come."""
+    """The loop reports that the timer of a `ScheduleTimer` has expired."""
 
     token: tuple
 
 
-# Out: to fronts
+# Commands to fronts
 
 
 class Give(msgspec.Struct, frozen=True, gc=False):
-    """To a front: answer an ask. `advice` is in µs; `reason` a short word for logs and problem details.
+    """Answer a viewer's request; `reason` is a short text for logs and problem details.
 
-    With `elsewhere` nothing was sent for this ask, and another gateway may be able to tell who has its key.
+    `retry_after` (µs) is when the viewer may retry. `try_elsewhere` says that no set-up was sent for the
+    request and that another gateway may be able to determine the owner of its key.
     """
 
     ask: int
@@ -224,7 +243,7 @@
 
 
 class Steer(msgspec.Struct, frozen=True, gc=False):
-    """To a front: answer a poll: play on at this host, or (with `over`) nowhere."""
+    """Answer a player's poll with the host at which to continue; `is_closed`: the session has ended."""
 
     poll: int
     session: int = 0
@@ -238,14 +257,14 @@
     over: bool = False
 
 
-# Out: to hosts
+# Commands to host adapters
 
 
 class SendSetUp(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: set a session up; `SetUpEnded` tells its end, by `until` (µs) at the latest.
+    """Set up a session at a host; `SetUpEnded` reports the end by `until` (µs) at the latest.
 
-    `number` counts calls that give leases, `clock` is the reading of the host's clock (µs, -1 for none) that
-    the lease counts from, `moved_from` the session that it takes the place of (0 for none).
+    `call_number` is the sequence number of a call that grants leases, `clock` the reading of the host's clock
+    (µs, -1 for none) from which the lease counts, `moved_from` the session that it replaces (0 for none).
     """
 
     session: int
@@ -261,14 +280,14 @@
 
 
 class CallOff(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: break off a set-up; no `SetUpEnded` need follow."""
+    """Cancel a set-up attempt; no `SetUpEnded` need follow."""
 
     session: int
     attempt: int
 
 
 class SendRung(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: tell a host the rung of a session that plays."""
+    """Set the rung of a playing session at its host."""
 
     session: int
     server: bytes
@@ -277,9 +296,9 @@
 
 
 class SendEnd(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: end a session there, all its epochs up to this one, also those still under way.
+    """Terminate a session at a host: all its epochs up to this one, including set-ups still under way.
 
-    The try is over by `until` (µs).
+    `TerminationAttemptEnded` reports the end by `until` (µs) at the latest.
     """
 
     session: int
@@ -289,7 +308,7 @@
 
 
 class SendRenew(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: renew (session, epoch, rung) for `lease` µs; the rung mends a lost change."""
+    """Renew the leases of (session, epoch, rung) for `lease` µs; the rung repairs a lost `SendRung`."""
 
     server: bytes
     sessions: tuple[tuple[int, int, int], ...]
@@ -300,10 +319,11 @@
 
 
 class SendSettle(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: ask what became of sessions (number, epoch) of earlier lives, and take them over.
+    """Query the state of sessions (number, epoch) of earlier generations and take them over.
 
-    `Settled` tells the end by `until` (µs). One that plays gets a lease of `lease` µs from `clock` on, as by
-    a renewal; one that has not run is passed over from then on.
+    `ReconciliationEnded` reports the end by `until` (µs) at the latest. A session that plays gets a lease of
+    `lease` µs from `clock` on, as by a renewal; from then on the host rejects the set-up of one that has
+    not run.
     """
 
     server: bytes
@@ -315,52 +335,52 @@
 
 
 class Watch(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: open the line to a host."""
+    """Open the event stream from a host."""
 
     server: bytes
 
 
 class Unwatch(msgspec.Struct, frozen=True, gc=False):
-    """To a host adapter: close the line to a host that is gone."""
+    """Close the event stream from a host that has left the list."""
 
     server: bytes
 
 
-# Out: to other gateways
-
-
-# Out: to sources, loop and log
+# Commands to list sources, the core, the loop and the log
 
 
 class AskList(msgspec.Struct, frozen=True, gc=False):
-    """To the sources: tell all of the list, or (with `standing`) its changes."""
+    """Request the complete server list; `subscribe` requests its changes as well."""
 
     standing: bool = False
 
 
 class Named(msgspec.Struct, frozen=True, gc=False):
-    """To the core: this session goes under a name that an earlier life gave it."""
+    """Register the name that an earlier generation gave to a recovered session."""
 
     session: int
     name: str
 
 
 class Ordered(msgspec.Struct, frozen=True, gc=False):
-    """To the core: an operator's order (`Drain`) is taken, and durable where there is a store."""
+    """Report that an operator's order (`DrainOrdered`) is in force.
+
+    `is_durable` is false if the store could not record it.
+    """
 
     server: bytes
     good: bool
 
 
 class Wake(msgspec.Struct, frozen=True, gc=False):
-    """To the loop: hand in `Due(token)` at `at` (µs)."""
+    """Deliver `TimerExpired(token)` at `at` (µs)."""
 
     at: int
     token: tuple
 
 
 class Say(msgspec.Struct, frozen=True, gc=False):
-    """To the log: one line."""
+    """Write one line to the log."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
--- a/mintmast/decisions/sessions/__init__.py
+++ b/mintmast/decisions/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""What becomes of asks and sessions: the book and its parts."""
+"""The session book and its parts: requests, sessions, set-ups, leases, moves and recovery."""
--- a/mintmast/decisions/sessions/acts.py
+++ b/mintmast/decisions/sessions/acts.py
@@ -1,4 +1,4 @@
-"""What the module decides is carried out: each of its actions becomes a step of a session or a command."""
+"""Executes the placement module's actions: each one becomes a transition of a session or a command."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 
 
 class Desk(Protocol):
-    """What the module's actions ask of the book."""
+    """The book's operations that the module's actions trigger."""
 
     def send(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
-        """Send a session to the host that the module has chosen."""
+        """Send a session's set-up to the host that the module has chosen."""
 
     def close(
         self, now: int, session: Session, verdict: Verdict | None = None, advice: int = 0, reason: str = ""
     ) -> None:
-        """End a session, and answer those who wait."""
+        """Close a session and answer its pending requests."""
 
 
 class Acts:
-    """Between the book and the module; `decide` is the module's `handle`, `emit` takes commands."""
+    """Connects the book with the module; `emit` receives commands.
+
+    `handle_module_event` is the module's `handle`.
+    """
 
     def __init__(
         self,
@@ -43,7 +46,7 @@
         self._sessions, self._set_ups, self._moves = sessions, set_ups, moving
 
     def feed(self, now: int, event: api.Event) -> None:
-        """Hand an event in and carry the actions out; what they cause is handed in after."""
+        """Pass an event to the module and execute its actions, then do the same for the events they cause."""
         events = deque([event])
         while events:
             for action in self._decide(now, events.popleft()):
@@ -63,7 +66,7 @@
                         self._emit(SendRung(request, session.server, rung, session.epoch))
             case api.Refuse(request, advice):
                 session = self._sessions.get(request)
-                if session is not None:  # what may have run is never called refused, whoever says so
+                if session is not None:  # a session that may have run is never reported as refused
                     why = session.why or "no room"
                     spent = session.stage is Stage.SPENT
                     self._desk.close(now, session, Verdict.FAILED if spent else Verdict.REFUSED, advice, why)
@@ -82,11 +85,11 @@
                     self._emit(AskList(standing=True))
             case api.FetchList():
                 self._emit(AskList())
-            case api.Probe(server):  # not offered: the settings say so, and it is answered as not sent
+            case api.Probe(server):  # probes are not supported; the settings say so
                 return api.ProbeResult(server, Outcome.NOT_SENT, 0)
             case api.Log(text):
                 self._emit(Say("module", (("text", text),)))
-            case _:  # CloseIdle: connections close by themselves when idle. TellPeers: no peers yet
+            case _:  # CloseIdle: idle connections close by themselves. TellPeers: not supported
                 pass
         return None
 
--- a/mintmast/decisions/sessions/asks.py
+++ b/mintmast/decisions/sessions/asks.py
@@ -1,4 +1,4 @@
-"""Who waits for an answer: each ask gets exactly one, and those of one key share a session."""
+"""Viewers' pending requests: each one gets exactly one answer, and requests of one key share a session."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Asks:
-    """The asks of one gateway that have no answer yet."""
+    """The unanswered requests of one gateway."""
 
     def __init__(self, emit: Callable[[object], None]) -> None:
         self._emit = emit
         self._session: dict[int, Session] = {}
 
     def wait(self, now: int, session: Session, ask: Ask) -> None:
-        """Let an ask wait for a session; one that joins has a deadline of its own."""
+        """Add a request to a session; a request that joins an existing session has its own deadline."""
         until = now + ask.budget
         session.waiting[ask.ask] = until
         self._session[ask.ask] = session
@@ -24,7 +24,7 @@
             self._emit(Wake(until, ("ask", ask.ask)))
 
     def gone(self, ask: int) -> Session | None:
-        """Let an ask wait no more, without an answer; give its session where nobody waits for it now."""
+        """Remove a request without an answer; return its session if no request waits for it any more."""
         session = self._session.pop(ask, None)
         if session is None:
             return None
@@ -32,7 +32,7 @@
         return None if session.waiting else session
 
     def late(self, ask: int) -> Session | None:
-        """Answer an ask whose time is up; give its session where nobody waits for it now."""
+        """Answer a request that timed out; return its session if no request waits for it any more."""
         session = self._session.get(ask)
         if session is None:
             return None
@@ -48,7 +48,7 @@
         reason: str = "",
         elsewhere: bool = False,
     ) -> None:
-        """Answer an ask; `advice` in µs."""
+        """Answer a request; `retry_after` in µs."""
         self._session.pop(ask, None)
         session.waiting.pop(ask, None)
         server = session.server or b""
@@ -63,6 +63,6 @@
         reason: str = "",
         elsewhere: bool = False,
     ) -> None:
-        """Answer all who wait for a session."""
+        """Answer all requests that wait for a session."""
         for ask in list(session.waiting):
             self.give(ask, session, verdict, advice, reason, elsewhere)
--- a/mintmast/decisions/sessions/book.py
+++ b/mintmast/decisions/sessions/book.py
@@ -1,12 +1,13 @@
-"""The session book: between viewers' asks, hosts' replies and the module's events and actions.
+"""The session book: maps viewers' requests, hosts' replies and the placement module's actions to commands.
 
-Pure: `take(now, input)` gives the commands that follow. It stands between the module, which decides
-placement, and the network, and keeps what neither can: one answer for each ask, one attempt out for a
-session, an end for every session that a host may hold and nobody wants, and the lease of each one that plays.
+It is pure: `handle(now, event)` returns the resulting commands. It connects the module, which decides
+placement, with the network, and keeps the guarantees that neither can keep: one answer for each request, at
+most one attempt under way for a session, the termination of every session that a host may hold and no viewer
+wants, and the lease of each playing session.
 
-The book itself only routes: an input goes to the part that owns what it is about, and what follows from one
-part for another is written down here, once. The parts are `asks`, `keys`, `sessions`, `setups`, `leases`,
-`ends`, `moving`, `claims` and `fleet`; `docs/architecture.md` has them all.
+The book only routes: an event goes to the part that owns its subject, and the effects of one part on another
+are stated here, in one place. The parts are `requests`, `keys`, `sessions`, `setups`, `leases`,
+`terminations`, `active_moves`, `claims` and `fleet`; `docs/architecture.md` describes them all.
 """
 
 from __future__ import annotations
@@ -59,14 +60,17 @@
 from mintmast.decisions.sessions.setups import SetUps
 from mintmast.interface import Outcome
 
-# µs after a session's deadline; the book answers by itself if its attempt's end was never told: a hole in the
-# network code must not cost a viewer his answer, and it must not come before the adapter's own timer
+# µs after a session's deadline at which the book itself answers if no end of the attempt was reported. A bug
+# in the network code must not cost a viewer the answer, and the adapter's own timer must expire first
 BACKSTOP = 5_000
 NO_NAMES = Catalogue()
 
 
 class SessionBook:
-    """The book of one gateway. `decide` is the module's `handle`; `lease` the length of a lease in µs."""
+    """The session book of one gateway.
+
+    `handle_module_event` is the module's `handle`, `lease_length` the length of a lease in µs.
+    """
 
     def __init__(
         self,
@@ -136,7 +140,7 @@
         }
 
     def start(self, now: int, kept: Recovered | None = None) -> list[Command]:
-        """Begin, with what was kept of earlier lives where there is a store; the first call."""
+        """Start, with the records of earlier generations if there is a store; must be the first call."""
         self._out = []
         self.claims.part.begin_learning(now, kept)
         if kept is not None:
@@ -146,26 +150,26 @@
         return self._out
 
     def take(self, now: int, event: object) -> list[Command]:
-        """Take one input at time `now` and give the commands that follow."""
+        """Process one event at time `now` and return the resulting commands."""
         self._out = []
         self.handlers[type(event)](now, event)
         return self._out
 
     def adopt(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings, between two inputs; what numbers stand for does not change by it."""
+        """Apply new settings between two events; class, tenant and title numbers keep their meaning."""
         self.settings = settings
         self.intents.adopt(catalogue)
         self.moves.adopt(settings)
         self.recovery.adopt(settings, catalogue)
 
     def holds(self, key: str, title: int) -> bool:
-        """Tell whether a session of this title is under way or plays for a key."""
+        """Return whether a session of this title is being set up or plays for a key."""
         session = self.sessions.get(self.keys.holder(key)) if key else None
         return session is not None and session.ask.title == title
 
     @property
     def held(self) -> int:
-        """Sessions under way or playing."""
+        """Number of sessions that are being set up or play."""
         return len(self.sessions.by_number)
 
     def _emit(self, command: Command) -> None:
@@ -185,7 +189,7 @@
                 self.asks.wait(now, session, ask)
                 return
         if self.keys.spent(now, ask.key) or (session is not None and not session.free):
-            # The key of a paid session that may have run, or runs for another title: not a second charge.
+            # the paid session may have run, or runs for another title: a second set-up would charge twice
             self._emit(Give(ask.ask, Verdict.FAILED, reason="this key has been spent"))
             return
         session = self.sessions.open(ask, now + ask.budget, self.settings.classes[ask.service].effect)
@@ -194,17 +198,17 @@
         self.budget.asked(now)
         self._emit(Wake(session.deadline + BACKSTOP, ("late", session.number)))
         if ask.key and not session.free and self.claims.on:
-            # half of the viewer's time at most, so that the other half is left for the set-up
+            # at most half of the viewer's timeout, which leaves the other half for the set-up
             self.claims.begin(now, session.number, ask.key, ask.length, now + ask.budget // 2)
         else:
             self._placed(now, session)
 
     def _claimed(self, now: int, number: int, why_not: str) -> None:
-        """Go on with a session whose key is claimed, or end it."""
+        """Place a session whose key claim succeeded, or close it; `failure` is the reason, "" for success."""
         session = self.sessions.get(number)
         if session is None:
             return
-        if why_not == UNASKED:  # nobody here can tell whose the key is; it may be told elsewhere
+        if why_not == UNASKED:  # the key's owner cannot be determined here, but perhaps at another gateway
             self.asks.give_all(session, Verdict.FAILED, reason=why_not, elsewhere=True)
         if why_not or not session.waiting or now >= session.deadline:
             self.close(now, session, Verdict.FAILED, reason=why_not or "time is up")
@@ -213,12 +217,12 @@
 
     def _placed(self, now: int, session: Session) -> None:
         self.place(now, session)
-        if session.waiting and not session.out:  # the module must have sent it or ended it: see rule 1
+        if session.waiting and not session.out:  # the module must have sent or closed it by rule 1
             self._emit(Say("unanswered", (("session", session.number),)))
             self.close(now, session, Verdict.FAILED, reason="undecided")
 
     def place(self, now: int, session: Session) -> None:
-        """Ask the module where the session plays."""
+        """Request a host for the session from the module."""
         ask = session.ask
         request = api.SessionRequest(
             session.number,
@@ -240,7 +244,7 @@
 
     def _unwatched(self, now: int, session: Session | None) -> None:
         if session is not None and self.recovery.holds(session.number):
-            return  # its host is asked whoever waits
+            return  # its host is queried whether or not a viewer waits
         if session is not None and session.out:
             self.feed(now, api.ViewerGone(session.number))
         elif session is not None and self.claims.pending(session.number):
@@ -249,8 +253,8 @@
     def close(
         self, now: int, session: Session, verdict: Verdict | None = None, advice: int = 0, reason: str = ""
     ) -> None:
-        """End a session: answer those who wait, forget it, keep the key that must not run again."""
-        if session.out:  # nobody may be left out there without an end
+        """Close a session: answer its requests, remove it and retain a key that must not run again."""
+        if session.out:  # no attempt may stay at a host without a termination
             self.set_ups.give_up(now, session, Signal.CALLED_OFF)
         if session.stage is not Stage.OVER:
             session.take(Signal.ENDED if session.playing else Signal.CLOSED)
@@ -265,13 +269,13 @@
     # The module
 
     def feed(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
         self.acts.feed(now, event)
 
     # Attempts
 
     def send(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
-        """Send a session to the host that the module has chosen."""
+        """Send a session's set-up to the host that the module has chosen."""
         if session.stage is Stage.ASKED and self.moves.hold(session.number, server, timeout_at):
             return
         if session.attempts:
@@ -279,7 +283,7 @@
         self.set_ups.send(now, session, server, timeout_at, self.moves.moved_from(session.number))
 
     def send_moved(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
-        """Send a moved session to the host that was held for it."""
+        """Send a moved session's set-up to the host where a place was held for it."""
         self.keys.take(session.ask.key, session.number)
         self._emit(Wake(session.deadline + BACKSTOP, ("late", session.number)))
         self.set_ups.send(now, session, server, timeout_at, moved_from)
@@ -325,22 +329,22 @@
         self.asks.give_all(session, Verdict.PLAYS)
 
     def settled(self, now: int, session: Session) -> None:
-        """Let a session of an earlier life that plays go on, and answer those who wait."""
+        """Resume a session of an earlier generation that still plays and answer its pending requests."""
         self._plays(now, session, session.server or b"")
 
     def unwanted(self, now: int, session: Session) -> None:
-        """End a session of an earlier life that plays and that nobody watches."""
+        """Terminate a session of an earlier generation that still plays but has no viewer."""
         self.set_ups.give_up(now, session, Signal.UNWATCHED)
         self.close(now, session)
         server, number = session.server or b"", session.number
         self.feed(now, api.AttemptEnd(number, 0, server, Outcome.CANCELLED, 0, True))
 
     def ended(self, now: int, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """Book that a playing session is over at its host."""
+        """Record that a playing session has ended at its host."""
         server, attempt = session.server or b"", session.attempts - 1
         self.close(now, session)
         self.feed(now, api.AttemptEnd(session.number, attempt, server, outcome, 0, True, load))
-        # reset: its process is gone, so it is as surely over as if the host had said so
+        # RESET: the host's process is gone, which is as certain an end as a report by the host
         died = outcome is Outcome.RESET
         self.moves.left(now, session.number, moves.Signal.OLD_DIED if died else moves.Signal.LEFT)
 
@@ -355,7 +359,7 @@
         self.claims.part.stands(now, event)
         self.orders.stands(now, event)
 
-    # Ends and leases
+    # Terminations and leases
 
     def _end_ended(self, now: int, event: EndEnded) -> None:
         if not self.ends.awaits(event):
--- a/mintmast/decisions/sessions/budget.py
+++ b/mintmast/decisions/sessions/budget.py
@@ -1,14 +1,14 @@
-"""The budget of further attempts, as a gateway keeps it beside the module.
+"""The retry budget that a gateway enforces besides the placement module.
 
-The rule: in any window of `span`, further attempts (a session sent once more, or moved) are at most `free`
-plus `ratio` for each request that a viewer made. Danger: attempts that stand for nothing a viewer asked drown
-a fleet that is short already. It also guards hosts that are about to switch off from a wave of moves. It may
-hurt where a drain must be quick: moves wait for their turn.
+In any window of `span`, further attempts (a session sent again, or moved) are at most `free` plus `ratio` for
+each request made by a viewer. Without this limit, attempts that no viewer requested overload a fleet that
+already lacks capacity. The budget also protects hosts that are about to be switched off from a burst of
+moves. Its cost is that moves must wait even if a drain is urgent.
 
-The gateway looks at the window that ends with each further attempt, at the time of sending. A window that an
-observer of the hosts takes can be wider by what passes between sending and arrival, so he must shorten his by
-that much to be sure of a breach; `docs/design/fleet-rules.md` has the argument, `tests/test_budget.py` draws
-it.
+The gateway checks the window that ends with each further attempt, at the time of sending. Between sending and
+arrival, delays can push more attempts into a window as seen by the hosts. An observer of the hosts must
+therefore shorten the window by the maximum delay to be certain of a violation.
+`docs/design/fleet-rules.md` has the proof, `tests/test_budget.py` checks it with random sequences.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Budget:
-    """Further attempts and viewers' requests of the last window. Without a rule everything is allowed."""
+    """Counts further attempts and viewers' requests in the last window; without a rule allows everything."""
 
     def __init__(self, rule: AttemptBudget | None) -> None:
         self._rule = rule
@@ -27,7 +27,7 @@
         self._asked: deque[int] = deque()
 
     def asked(self, now: int) -> None:
-        """Count a request of a viewer; never one that the gateway makes for him."""
+        """Count a request made by a viewer, never one that the gateway makes on the viewer's behalf."""
         if self._rule is not None:
             self._asked.append(now)
 
@@ -37,7 +37,7 @@
             self._spent.append(now)
 
     def allows(self, now: int) -> bool:
-        """Tell whether one more further attempt stays in the budget."""
+        """Return whether one more further attempt is within the budget."""
         rule = self._rule
         if rule is None:
             return True
--- a/mintmast/decisions/sessions/ends.py
+++ b/mintmast/decisions/sessions/ends.py
@@ -1,4 +1,4 @@
-"""Ends: every session that a host may hold and nobody wants is ended there until that is sure."""
+"""Terminates every session that a host may hold and no viewer wants, with retries until it is confirmed."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from mintmast.decisions.sessions.sessions import Session
 
 SECOND = 1_000_000
-# µs between tries to end a session at a host that does not confirm, until its lease has run out anyway
+# µs between attempts to terminate a session at a host that does not confirm, until the lease has expired
 END_AGAIN = SECOND // 2
-# µs for one try: a host that cannot say yes in this time is asked again
+# µs that one attempt waits for the host's confirmation before it counts as failed
 END_TIME = 2 * SECOND
 
 
 class Ends:
-    """The ends under way of one gateway; `lease` is the length of a lease in µs."""
+    """The pending terminations of one gateway; `lease` is the length of a lease in µs."""
 
     def __init__(self, lease: int, emit: Callable[[object], None]) -> None:
         self._lease, self._emit = lease, emit
-        self._under_way: dict[tuple[int, bytes], tuple[int, int]] = {}  # epoch, when its lease is surely over
+        self._under_way: dict[tuple[int, bytes], tuple[int, int]] = {}  # epoch, latest expiry of the lease
 
     def end(self, now: int, session: Session, server: bytes, wait: int = END_TIME) -> None:
-        """End all epochs of a session at a host; one try takes `wait` µs."""
+        """Terminate all epochs of a session at a host; the first attempt takes at most `timeout` µs."""
         over_at = session.lease.over_at if session.lease is not None else now
         self._under_way[session.number, server] = session.epoch, max(over_at, now + self._lease)
         self._emit(SendEnd(session.number, server, session.epoch, now + wait))
 
     def awaits(self, event: EndEnded) -> bool:
-        """Tell whether a try's end is still of use."""
+        """Return whether the termination that an attempt belongs to is still pending."""
         return (event.session, event.server) in self._under_way
 
     def tried(self, now: int, event: EndEnded) -> None:
-        """Take the end of a try: sure, or tried again until the lease is over."""
+        """Process the end of an attempt; schedule a retry unless it is confirmed or the lease has expired."""
         key = event.session, event.server
         held = self._under_way.get(key)
         if held is None:
@@ -43,7 +43,7 @@
             self._emit(Wake(now + END_AGAIN, ("end", *key)))
 
     def again(self, now: int, session: int, server: bytes) -> None:
-        """Try once more."""
+        """Send the next attempt of a pending termination."""
         held = self._under_way.get((session, server))
         if held is not None:
             self._emit(SendEnd(session, server, held[0], now + END_TIME))
--- a/mintmast/decisions/sessions/fleet.py
+++ b/mintmast/decisions/sessions/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as the module hears it: hosts' words, the list and operators' orders become entries and notes."""
+"""Turns hosts' events, list updates and operators' orders into list entries and notes for the module."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class Desk(Protocol):
-    """What the fleet asks of the book."""
+    """The book's operations that the fleet calls."""
 
     def feed(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def ended(self, now: int, session: Session, outcome: Outcome) -> None:
-        """Book that a playing session is over at its host."""
+        """Record that a playing session has ended at its host."""
 
 
 class Fleet:
-    """What one gateway believes of its hosts; `emit` takes commands."""
+    """One gateway's view of its hosts; `emit` receives commands."""
 
     def __init__(
         self, desk: Desk, sessions: Sessions, leases: Leases, moving: Moves, emit: Callable[[object], None]
@@ -39,31 +39,31 @@
         self._version = 0
 
     def hello(self, now: int, event: HostHello) -> None:
-        """Take a host's first word on a new line."""
+        """Process the establishment of a host's event stream."""
         changed, other = self.watch.hello(now, event.server, event.process, event.age, event.drains)
         self._leases.heard(event.server, event.clock, now, None)
         self._entries(now, changed)
-        if other:  # what played in the old process ended with it
+        if other:  # the sessions of the previous process ended with it
             for session in list(self._sessions.at(event.server).values()):
                 if session.sent_at < now - (event.age or 0):
                     self._desk.ended(now, session, Outcome.RESET)
 
     def lost(self, now: int, event: HostLost) -> None:
-        """Take the end of a line, or a try in vain."""
+        """Process a broken event stream or a failed connection attempt."""
         changed, again = self.watch.lost(now, event.server, event.draw, event.refused)
         self._entries(now, changed)
-        if event.refused:  # no process is there: what played in it is over, and if not, its lease will end it
+        if event.refused:  # no process listens: its sessions have ended, and if not, their leases will expire
             for session in list(self._sessions.at(event.server).values()):
                 self._desk.ended(now, session, Outcome.RESET)
         self.handover.line_lost(event.server, again)
 
     def note(self, now: int, event: HostNote) -> None:
-        """Take a share delivered or a use."""
+        """Pass a delivered share or a utilisation to the module."""
         number = next(iter(self._sessions.at(event.server)), 0)
         self._desk.feed(now, api.Note(number, event.server, event.kind, event.value))
 
     def news(self, now: int, event: ListNews) -> None:
-        """Take news from the list."""
+        """Process an update of the server list."""
         if event.kind is ListKind.FAILED:
             self._desk.feed(now, api.ServerList(ListKind.FAILED, self._version))
             return
@@ -86,16 +86,16 @@
                     self._moves.signal(now, number, moves.Signal.TAKEN_BACK)
 
     def host_drains(self, now: int, event: HostDrain) -> None:
-        """Take a host's word that it drains, or drains no more."""
+        """Process a host's report that it started or stopped draining."""
         self._entries(now, self.watch.drain(event.server, event.drains))
 
     def slice_due(self, now: int) -> None:
-        """Hand the next slice of a long list over."""
+        """Pass the next slice of a long list to the module."""
         self._tell_entries(now, self.handover.next())
         self.handover.rest(now)
 
     def order(self, now: int, event: Drain) -> None:
-        """Take an operator's order to drain, or its end."""
+        """Apply an operator's order to drain a host, or its revocation."""
         self.drains.take(now, event)
         self._entries(now, self.watch.order(event.server, event.on))
         if event.on:
--- a/mintmast/decisions/sessions/intents.py
+++ b/mintmast/decisions/sessions/intents.py
@@ -1,12 +1,13 @@
-"""Intents: a paid set-up is on disk before its first byte leaves; what becomes of sessions is kept.
+"""Durable intents: a paid set-up is on disk before its first byte is sent, and so is the end of its session.
 
-Danger: a gateway that dies with a set-up under way forgets that it sent it, and its next life takes the key
-for unspent. So the record comes first, and the set-up waits for it; where it cannot be written in time
-nothing is sent and the viewer is refused, which is true. It also lets the next life find the session that
-plays (`recovery.py`). It may hurt by the time of a flush, and while a disk is full: paid viewers are refused.
+A gateway that crashes with a set-up under way would forget that it sent it, and its next generation would
+take the key for unused and charge twice. The set-up therefore waits for the record; if it cannot be written
+in time nothing is sent and the viewer is refused, which is true. The record also lets the next generation
+find the session if it plays (`recovery.py`). The cost is one flush for each paid set-up, and that paid
+viewers are refused while the disk is full.
 
-Free sessions are written too, so that the next life finds them, and wait for nothing: what is lost of them
-costs the rest of a clip. Where there is no store nothing is written and nothing waits.
+Free sessions are recorded too, so that the next generation finds them, but do not wait for the record: losing
+it costs only the rest of a clip. Without a store nothing is recorded and nothing waits.
 """
 
 from __future__ import annotations
@@ -23,26 +24,29 @@
 from mintmast.decisions.messages import Ask
 from mintmast.decisions.sessions.sessions import Session, name_of
 
-# intents forgotten at one further intent, at the most: they come one by one
+# Expired intents removed with each new one, at most; they are written, and so expire, one by one
 SWEPT_AT_ONCE = 4
 
 
 @dataclass(slots=True, frozen=True)
 class Catalogue:
-    """Names of what the settings number: classes, tenants, titles. Records outlive a change of settings."""
+    """The names of the classes, tenants and titles that the settings number.
+
+    Records hold names, because they outlive a change of the settings, which may change the numbers.
+    """
 
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
     titles: tuple[str, ...] = ()
 
     def names(self, ask: Ask) -> tuple[str, str, str]:
-        """Give the names of an ask's class, tenant and title; "" for what has none."""
+        """Return the names of a request's class, tenant and title; "" for each that has none."""
         numbered = (self.classes, ask.service), (self.tenants, ask.tenant), (self.titles, ask.title)
         told = [names[place] if place < len(names) else "" for names, place in numbered]
         return told[0], told[1], told[2]
 
     def numbers(self, intent: Intent) -> tuple[int, int, int] | None:
-        """Give the numbers that a record's names have now; None where one is not in the settings any more."""
+        """Return the current numbers of a record's names; None if the settings no longer have one of them."""
         try:
             tenant = self.tenants.index(intent.tenant) if intent.tenant else 0
             return self.classes.index(intent.service), tenant, self.titles.index(intent.title)
@@ -51,7 +55,7 @@
 
 
 class Intents:
-    """The intents of one gateway: `gateway` and `start` name its life."""
+    """The intents of one gateway; `gateway` and `generation` identify the run of its process."""
 
     def __init__(
         self, keeper: Keeper, claims: Claims, catalogue: Catalogue, gateway: str, start: int
@@ -59,20 +63,21 @@
         self._keeper, self._claims, self._catalogue = keeper, claims, catalogue
         self._gateway, self._start = gateway, start
         self._written: dict[int, tuple[str, Intent]] = {}  # by session: digest and record
-        self._ends: deque[tuple[int, str]] = deque()  # µs of running until when which digest is kept
+        self._ends: deque[tuple[int, str]] = deque()  # (running time in µs at expiry, digest)
         self._until: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._until)
 
     def adopt(self, catalogue: Catalogue) -> None:
-        """Write records from now on with these names."""
+        """Use these names for the records that are written from now on."""
         self._catalogue = catalogue
 
     def before(self, now: int, session: Session, clock: int, then: Callable[[int, bool], None]) -> None:
-        """Write that a session is about to be sent to its host; `then(now, good)` when it may leave, or not.
+        """Record that a session's set-up is about to be sent to its host.
 
-        `clock` is the last reading of the host's clock (µs, -1 for none).
+        Calls `on_recorded(now, is_durable)` once: the set-up may be sent only if `is_durable` is true.
+        `clock_reading` is the last reading of the host's clock (µs, -1 for none).
         """
         ask = session.ask
         if not self._keeper.on or session.server is None or not (ask.key or session.free):
@@ -108,14 +113,14 @@
             self._put(now, session.number, digest_of(ask.key), intent, then)
 
     def found(self, now: int, session: int, digest: str, intent: Intent) -> None:
-        """Take over a record of an earlier life; `session` is its number now, 0 where it is over."""
+        """Restore a record of an earlier generation; `session` is its new number, 0 if it has ended."""
         self._until[digest] = intent.until
         self._ends.append((intent.until, digest))
         if session:
             self._written[session] = digest, intent
 
     def over(self, now: int, session: int, ran: bool) -> None:
-        """Keep that a session is over; nothing where it provably never ran, or is free."""
+        """Record the end of a session; remove its record if it provably never ran, or is free."""
         digest, intent = self._written.pop(session, ("", None))
         if intent is None:
             return
@@ -140,7 +145,7 @@
         self._keeper.keep(now, Kind.INTENT, digest, intent, then)
 
     def _sweep(self, now: int) -> None:
-        """Take out what is over. Danger: the file grows for ever."""
+        """Remove expired records, without which the file would grow forever."""
         ran = self._keeper.ran(now)
         for _ in range(min(SWEPT_AT_ONCE, len(self._ends))):
             until, digest = self._ends[0]
--- a/mintmast/decisions/sessions/keys.py
+++ b/mintmast/decisions/sessions/keys.py
@@ -1,9 +1,9 @@
-"""Keys of viewers' wishes: which session stands for one now, and which must not be set up again.
+"""Idempotency keys of viewers' requests: the session that holds each key, and the keys that are used up.
 
-The danger is a second charge: a viewer who comes again with the key of a paid session that may have run. A
-key that is spent is kept after its session's end for as long as a second try may come. It also guards against
-a copy of the ask that arrives late. It may hurt a viewer whose session never came through though it may have
-run: he needs a new key, that is a new wish. `intents.py` keeps it over a death.
+A viewer who retries with the key of a paid session that may have run must not be charged a second time. A
+used key is therefore retained after its session's end for as long as a retry may come, which also covers a
+duplicate of the request that arrives late. The cost falls on a viewer whose session never played although it
+may have run: that viewer must send a new request with a new key. `intents.py` retains used keys over a crash.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from collections import deque
 
 SECOND = 1_000_000
-# µs for which the key of a paid session that may have run is kept: past any viewer's second try, within what
-# a gateway can hold (a day at 6 a second is 500,000 keys; an hour is 20,000)
+# µs for which the key of a paid session that may have run is retained: longer than any viewer retries, and
+# within a gateway's memory (at 6 keys a second a day is 500,000 keys, an hour 20,000)
 KEY_KEPT = 3600 * SECOND
 
 
 class Keys:
-    """The keys of one gateway. The empty key stands for none and is never held."""
+    """The keys of one gateway. The empty key means no key and is never held."""
 
     def __init__(self) -> None:
         self._held: dict[str, int] = {}
@@ -25,25 +25,25 @@
         self._order: deque[tuple[int, str]] = deque()
 
     def holder(self, key: str) -> int:
-        """Give the session under way or playing for a key, 0 for none."""
+        """Return the session that is being set up or plays for a key, 0 for none."""
         return self._held.get(key, 0)
 
     def spent(self, now: int, key: str) -> bool:
-        """Tell whether a key must not be set up again."""
+        """Return whether a key is used up, so that no session may be set up for it."""
         return self._spent.get(key, now) > now
 
     def spend(self, now: int, key: str, keep: int) -> None:
-        """Take it from the records that a key is spent, still to be kept for so many µs."""
+        """Mark a key that was recovered from the records as used for `duration` µs."""
         self._spent[key] = now + keep
         self._order.append((now + keep, key))
 
     def take(self, key: str, session: int) -> None:
-        """Let a session stand for a key."""
+        """Make a session the holder of a key."""
         if key:
             self._held[key] = session
 
     def release(self, now: int, key: str, session: int, spend: bool) -> None:
-        """Let a session stand for its key no more; with `spend` nobody may for `KEY_KEPT`."""
+        """Release a session's key; with `mark_used` the key stays unusable for `KEY_RETENTION_US`."""
         if key and self._held.get(key) == session:
             del self._held[key]
             if spend:
--- a/mintmast/decisions/sessions/lease.py
+++ b/mintmast/decisions/sessions/lease.py
@@ -1,35 +1,36 @@
-"""Lease arithmetic: until when a host may go on with a session that nobody renews.
+"""Lease arithmetic: the bounds on how long a host may continue a session without a renewal.
 
-A renewal that waits in the buffers of a host that stands still may be worked off at any later time, so
-nothing can be reckoned from when it was sent or given up. Instead each one names a reading of the host's own
-clock that the gateway heard before, and its sequence number: the host keeps the session until that reading
-plus the lease, ignores numbers it has passed, and refuses what is over already. The gateway heard the reading
-at a known time, so:
+A renewal can wait in the buffers of a suspended host and be processed at any later time, so no bound can be
+derived from when it was sent or timed out. Each renewal therefore carries a reading of the host's own clock
+that the gateway received earlier, and a sequence number. The host keeps the session until that reading plus
+the lease, ignores sequence numbers lower than one it has seen, and rejects leases that have already expired.
+As the gateway knows when it received the reading:
 
-* the host holds the session at most until `length` after the reading was heard, on clocks that differ by
-  `DRIFT`;
-* it holds it at least until `length` after the call that brought the reading was sent.
+* the host holds the session at most until `length` after the reading was received, with clocks whose rates
+  differ by up to `MAX_CLOCK_DRIFT`;
+* it holds the session at least until `length` after the call was sent whose reply brought the reading.
 
-Nothing rests on synchronous clocks, on delays or on answers; only on rates that differ by less than `DRIFT`,
-and on a host's clock that never goes back, over its restarts too.
+This does not depend on synchronised clocks, delays or replies, only on clock rates that differ by less than
+`MAX_CLOCK_DRIFT` and on host clocks that never go back, even over restarts.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# part by which two clocks may differ in rate: crystals keep 0.0001, clocks being slewed 0.0005 (ntpd's
-# bound); one in a hundred leaves room for a host that is paused in the middle of its own reckoning
+# Relative difference allowed between the rates of two clocks: crystals keep 0.0001, slewed clocks 0.0005
+# (ntpd's bound); 0.01 leaves a margin for a host that is paused in the middle of its own calculation
 DRIFT = 0.01
-# renewals in a lease: two may be lost before a session ends for want of them
+# renewals within one lease: two in a row may be lost before a session ends
 RENEWALS = 3
 
 
 @dataclass(slots=True)
 class HostClock:
-    """The last reading of a host's clock; all in µs, `heard_at` and `sure_at` on the gateway's clock.
+    """The last reading of a host's clock in µs (-1 for none).
 
-    The host's clock read `reading` at `heard_at` at the latest and at `sure_at` at the earliest.
+    The host's clock showed `reading` at `latest_at` at the latest and at `earliest_at` at the earliest, both
+    in µs of the gateway's clock.
     """
 
     reading: int = -1
@@ -37,13 +38,13 @@
     sure_at: int = 0
 
     def heard(self, reading: int, now: int, asked: int | None) -> None:
-        """Take a reading that came at `now`, in answer to a call sent at `asked` or (None) by itself."""
+        """Record a reading received at `now`, in reply to a call sent at `sent_at` or (None) unsolicited."""
         if reading < self.reading:
-            return  # an old word that came late
+            return  # an older message that arrived late
         bounds = [] if asked is None else [asked]
         if self.reading >= 0:
-            # on from the last reading, at the least rate that its clock can have had against ours: a reply
-            # that was long under way must not make a bound worse that was known better
+            # extrapolates the last reading at the lowest rate that the host's clock can have relative to
+            # ours, so that a reply with a long delay does not loosen a bound that was already tighter
             bounds.append(self.sure_at + int((reading - self.reading) * (1 - DRIFT)))
         self.reading, self.heard_at, self.sure_at = reading, now, min(max(bounds, default=now), now)
 
@@ -58,13 +59,13 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One session's lease as its gateway knows it; µs of the gateway's clock."""
+    """One session's lease as known to its gateway; times in µs of the gateway's clock."""
 
     calls: list[_Renewal] = field(default_factory=list)
-    sure_until: int = 0  # until when the host surely holds it, if it lives and has not been told to end it
+    sure_until: int = 0  # the host holds it at least so long, if it lives and gets no termination
 
     def asked(self, number: int, now: int, length: int, clock: HostClock | None) -> None:
-        """Book a call about to be sent at `now`; without a reading the host counts from its arrival."""
+        """Record a call about to be sent at `now`; without a reading the host counts from its arrival."""
         if clock is None or clock.reading < 0:
             self.calls.append(_Renewal(number, now + int(2 * length * (1 + DRIFT)), now + length, False))
             return
@@ -73,27 +74,27 @@
         self.calls.append(_Renewal(number, over, sure, True))
 
     def answered(self, number: int) -> None:
-        """Book that the host took call `number`: it now passes over all earlier ones."""
+        """Record that the host accepted call `number`; from now on it ignores all earlier ones."""
         for call in self.calls:
             if call.number == number:
                 self.sure_until = call.sure
         self.calls = [call for call in self.calls if call.number >= number]
 
     def never_came(self, number: int) -> None:
-        """Book that call `number` provably never reached the host."""
+        """Discard call `number`, which provably never reached the host."""
         self.calls = [call for call in self.calls if call.number != number]
 
     @property
     def over_at(self) -> int:
-        """From when the host holds it no more, as far as can be told."""
+        """The latest time at which the host can still hold the session, as far as is known."""
         return max((call.over for call in self.calls), default=0)
 
     @property
     def proven(self) -> bool:
-        """Tell whether `over_at` rests on readings of the host's clock alone."""
+        """Return whether `expires_at` rests on readings of the host's clock alone."""
         return bool(self.calls) and all(call.proven for call in self.calls)
 
 
 def renew_every(length: int) -> int:
-    """Give the time between renewals of a lease."""
+    """Return the time between renewals of a lease of this length."""
     return max(1, length // RENEWALS)
--- a/mintmast/decisions/sessions/leases.py
+++ b/mintmast/decisions/sessions/leases.py
@@ -1,7 +1,7 @@
-"""Leases of all sessions: readings of hosts' clocks, the calls that give leases, renewals.
+"""The leases of all sessions: readings of hosts' clocks, calls that grant leases, and renewals.
 
-The arithmetic stands in `lease.py`; this part numbers the calls, so that a host can pass over old ones, and
-knows when which host is asked again.
+`lease.py` has the arithmetic. This part numbers the calls, so that a host can ignore outdated ones, and
+schedules the renewals of each host.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from mintmast.decisions.sessions.lease import HostClock, Lease, renew_every
 from mintmast.decisions.sessions.sessions import Session
 
-# sessions in one renewal: some 20 kB, well under what a host takes as a body, and no long turn for either
-# side
+# Sessions in one renewal: about 20 kB, well below the body size that a host accepts, and short to process on
+# both sides
 RENEWED_AT_ONCE = 200
 
 
@@ -28,7 +28,7 @@
         self._renewing: set[bytes] = set()
 
     def heard(self, server: bytes, reading: int, now: int, asked: int | None) -> None:
-        """Take a reading of a host's clock, in answer to a call sent at `asked` or (None) by itself."""
+        """Record a reading of a host's clock, in reply to a call sent at `sent_at` or (None) unsolicited."""
         if reading >= 0:
             clock = self._clocks.get(server)
             if clock is None:
@@ -36,16 +36,16 @@
             clock.heard(reading, now, asked)
 
     def reading(self, server: bytes) -> int:
-        """Give the last reading of a host's clock in µs, -1 for none."""
+        """Return the last reading of a host's clock in µs, -1 for none."""
         clock = self._clocks.get(server)
         return clock.reading if clock is not None else -1
 
     def ask(self, now: int, server: bytes, sessions: list[Session]) -> tuple[int, int]:
-        """Book a question that gives leases to those which play; give its number and the reading it names."""
+        """Record a query that grants leases to playing sessions; return its call number and clock reading."""
         return self._call(now, server, sessions, self.length)
 
     def begin(self, now: int, server: bytes, session: Session) -> tuple[int, int]:
-        """Book the set-up of a session; give the call's number and the reading that it names."""
+        """Record the set-up of a session; return its call number and clock reading."""
         session.lease = Lease()
         return self._call(now, server, [session], self.length)
 
@@ -58,7 +58,7 @@
         return self._calls, self.reading(server)
 
     def started(self, now: int, server: bytes, session: Session) -> None:
-        """Book that a host runs a session, and see to its renewals."""
+        """Record that a host runs a session, and schedule the host's renewals."""
         lease = session.lease
         if lease is not None:
             lease.answered(lease.calls[-1].number)
@@ -66,30 +66,30 @@
             self._renewing.add(server)
             self._emit(Wake(now + self._every, ("renew", server)))
         if lease is not None and lease.sure_until - now < 2 * self._every:
-            # the reading was old when the set-up was sent; the reply brought a fresh one
+            # the reading was old when the set-up was sent; the reply has brought a newer one
             self.restore(now, server, session)
 
     def restore(self, now: int, server: bytes, session: Session) -> None:
-        """Give one session its usual lease (again)."""
+        """Renew one session's lease for the usual length at once."""
         self.renew(now, server, [session], now + self._every, self.length)
 
     def renew(self, now: int, server: bytes, sessions: list[Session], until: int, length: int) -> int:
-        """Renew these sessions' leases at a host for `length`; give the call's number."""
+        """Renew the leases of these sessions at a host for `length` µs; return the call's number."""
         number, clock = self._call(now, server, sessions, length)
         told = tuple((each.number, each.epoch, each.rung) for each in sessions)
         self._emit(SendRenew(server, told, until, number, clock, length))
         return number
 
     def over(self, now: int, sessions: Iterable[Session]) -> list[Session]:
-        """Give those of a host's sessions whose lease is over: unreachable for longer than it lasts."""
+        """Return the sessions whose lease has expired because their host was unreachable for longer."""
         return [each for each in sessions if each.lease is not None and now >= each.lease.over_at]
 
     def renew_all(self, now: int, server: bytes, sessions: Iterable[Session]) -> None:
-        """Renew what plays at a host and is not on the move, and wake again.
+        """Renew the leases of a host's sessions that are not moving, and schedule the next renewal.
 
-        Danger: a host that answers nothing may still take renewals, so its leases would never be over. Also
-        guards against answers lost on the way. A lease not surely held any more is left to run out. May hurt
-        when a host is silent for a lease and then goes on: its sessions have ended.
+        A host whose replies are lost may still process renewals, so that its leases would never expire. A
+        lease that the host may no longer hold is therefore not renewed and left to expire. The cost: if a
+        host is silent for the length of a lease and then recovers, its sessions have ended.
         """
         held = [each for each in sessions if each.lease is not None and now < each.lease.sure_until]
         for first in range(0, len(held), RENEWED_AT_ONCE):
@@ -98,11 +98,11 @@
         self._emit(Wake(now + self._every, ("renew", server)))
 
     def rest(self, server: bytes) -> None:
-        """Wake no more for a host where nothing plays."""
+        """Stop the renewals of a host that has no playing sessions."""
         self._renewing.discard(server)
 
     def renewed(self, session: Session, event: Renewed) -> None:
-        """Book what became of a renewal for a session that the host did not call unknown."""
+        """Record the result of a renewal for a session that the host did not report as unknown."""
         if session.lease is None:
             return
         if event.answered:
--- a/mintmast/decisions/sessions/moves.py
+++ b/mintmast/decisions/sessions/moves.py
@@ -1,12 +1,12 @@
-"""Moving sessions off a draining host: the states of a move as one table, and who moves when.
+"""Moves of sessions off a draining host: the state machine of a move, and the planner that admits moves.
 
-Break before make under a lease: the old session is ended and that is sure before the new one is set up, and
-the player's buffer bridges the time between. First the lease at the old host is made short, so that even if
-the answer to the end is lost, the lease is over while the buffer lasts. Nothing is ended before the module
-has found a place.
+A move is break-before-make under a lease: the old session is terminated, and that is certain, before the new
+one is set up; the player's buffer bridges the gap. First the lease at the old host is shortened, so that even
+if the reply to the termination is lost the lease expires while the buffer lasts. Nothing is terminated before
+the module has found a place.
 
-`TABLE` is the whole machine: the session book follows it, and the model check walks it against hosts that die
-and a network that loses, delays and repeats.
+`TRANSITIONS` is the complete state machine: the session book follows it, and the model check explores it with
+hosts that crash and a network that loses, delays and duplicates messages.
 """
 
 from __future__ import annotations
@@ -19,79 +19,79 @@
 from mintmast.interface import Effect
 
 SECOND = 1_000_000
-# µs; the lease of a session about to be moved: long enough for an end and its answer to be lost and tried
-# again twice, short enough for a usual player's buffer (8 s and more) to outlast it
+# Lease of a session about to be moved: long enough for the termination or its reply to be lost twice and
+# tried again, short enough that a usual player's buffer (8 s and more) outlasts it
 SHORT_LEASE = 2 * SECOND
-# µs for the call that makes the lease short; a host that takes longer is not fit for a quick move
+# Timeout of the call that shortens the lease; a host that takes longer is too slow for a move
 PREPARE_TIME = SECOND // 2
-# µs for the answer to the end before the place found is given back: kept longer, a set-up could reach a cold
-# host in another window than the one in which the module counted it
+# Timeout of the termination's reply, after which the place found is given back. If the place were held
+# longer, a set-up could reach a cold host in a later pacing window than the one that the module counted
 END_QUICK = SECOND // 4
-# µs that a set-up at the new host and the player's next request may take: a few round trips and the host's
-# work
+# Time allowed for the set-up at the new host and the player's next request: a few round trips and the host's
+# processing
 SET_UP_ALLOWANCE = SECOND
-# µs; a session with less left than this ends by itself about as soon as a move would be through
+# A session with less time left than this ends by itself about as soon as a move would complete
 LEAST_LEFT = 4 * SECOND
-# moves of one gateway under way at once, and of one host among them: each is one set-up; the module's cold
-# pace and slot test bound where they go, these bound how much is between two hosts at a time
+# Concurrent moves of one gateway, and of one host among them. Each is one set-up. The module's pacing of cold
+# hosts and its capacity check limit where sessions go; these limit how many are between two hosts at a time
 IN_FLIGHT, IN_FLIGHT_HOST = 32, 16
-# µs; after a move found no room its host's next is tried so much later, doubled each time up to the second:
-# each try is a request to the module, and a fleet without room does not get it by being asked
+# Backoff of a host's moves after one found no capacity, doubled each time up to the maximum: each attempt
+# costs the module a request, and retries do not free capacity
 NO_ROOM, NO_ROOM_MOST = SECOND // 2, 8 * SECOND
-# µs; a candidate not heard of for so long polls no more
+# A candidate that has not polled for this long has stopped polling
 CANDIDATE_AGE = 15 * SECOND
 
 
 class Stage(Enum):
-    """Where a session stands in its move."""
+    """The state of a session's move."""
 
     PLAYS = "plays"
-    PREPARING = "preparing"  # its lease at the old host is being made short
-    PLACING = "placing"  # the module is asked; the old session plays on
-    ENDING = "ending"  # a place is held; the old session is being ended
-    WAITING = "waiting"  # the end's answer is overdue: the lease decides; no place is held
-    REPLACING = "replacing"  # surely over at the old host; the module is asked again
-    SETTING_UP = "setting up"  # surely over at the old host; the new set-up is out
+    PREPARING = "preparing"  # the lease at the old host is being shortened
+    PLACING = "placing"  # the module is choosing a host; the old session still plays
+    ENDING = "ending"  # a place is held; the old session is being terminated
+    WAITING = "waiting"  # the reply to the termination is overdue: waits for the lease; no place is held
+    REPLACING = "replacing"  # certainly ended at the old host; the module is choosing a host again
+    SETTING_UP = "setting up"  # certainly ended at the old host; the new set-up is under way
     MOVED = "moved"
-    LOST = "lost"  # over at the old host and no place found
-    OVER = "over"  # ended for another reason than the move
+    LOST = "lost"  # ended at the old host, and no place found or the new set-up failed
+    OVER = "over"  # ended for a reason other than the move
 
 
 class Signal(Enum):
-    """What happens to a move."""
+    """An input of the state machine of a move."""
 
     GRANTED = "granted"
-    SHORT = "short"  # the old host has taken the short lease, and the buffer outlasts it
-    NOT_SHORT = "not short"  # it did not answer in time, or the buffer would not last
+    SHORT = "short"  # the old host has accepted the short lease, and the buffer outlasts it
+    NOT_SHORT = "not short"  # the old host did not reply in time, or the buffer is too short
     PLACED = "placed"
     NO_ROOM = "no room"
-    ENDED = "ended"  # the old host says that it holds the session no more
-    OVERDUE = "overdue"  # no answer to the end in its time
+    ENDED = "ended"  # the old host confirmed that it no longer holds the session
+    OVERDUE = "overdue"  # no reply to the termination within its timeout
     LEASE_OVER = "lease over"
     OLD_DIED = "old died"  # the old host's process is gone
     UP = "up"
-    DOWN = "down"  # the new set-up failed for good
-    TAKEN_BACK = "taken back"  # the drain is over
-    LEFT = "left"  # the viewer has gone, or the clip is at its end
+    DOWN = "down"  # the new set-up failed permanently
+    TAKEN_BACK = "taken back"  # the drain was revoked
+    LEFT = "left"  # the viewer has left, or the clip has ended
 
 
 class Act(Enum):
-    """What follows from a signal."""
+    """What the book executes on a transition."""
 
     SHORTEN = "shorten"
     PLACE = "place"
     END = "end"
-    RELEASE = "release"  # give the place back unused
+    RELEASE = "release"  # give the held place back unused
     SET_UP = "set up"
-    LEAD = "lead"  # send the player to the new host
-    STAY = "stay"  # tell the player to stay where it is
+    LEAD = "lead"  # steer the player to the new host
+    STAY = "stay"  # steer the player to its present host
     TELL_LOST = "tell lost"
     CALL_OFF = "call off"
     FORGET = "forget"
 
 
 _S, _G, _A = Stage, Signal, Act
-# (stage, signal): next stage, acts. What is not here changes nothing.
+# (stage, signal): (next stage, actions). A pair that is not listed changes nothing.
 TABLE: dict[tuple[Stage, Signal], tuple[Stage, tuple[Act, ...]]] = {
     (_S.PLAYS, _G.GRANTED): (_S.PREPARING, (_A.SHORTEN,)),
     (_S.PREPARING, _G.SHORT): (_S.PLACING, (_A.PLACE,)),
@@ -116,19 +116,19 @@
     (_S.SETTING_UP, _G.DOWN): (_S.LOST, (_A.TELL_LOST,)),
     (_S.SETTING_UP, _G.LEFT): (_S.OVER, (_A.CALL_OFF, _A.FORGET)),
 }
-# stages at which nothing follows any more
+# stages that have no further transition
 FINAL = frozenset({Stage.MOVED, Stage.LOST, Stage.OVER})
-# stages at which the old session may still play: the new one must not be set up in any of them
+# stages in which the old session may still play, so that the new one must not be set up
 OLD_MAY_PLAY = frozenset({Stage.PLAYS, Stage.PREPARING, Stage.PLACING, Stage.ENDING, Stage.WAITING})
 
 
 def step(stage: Stage, signal: Signal) -> tuple[Stage, tuple[Act, ...]]:
-    """Give the next stage and what to do."""
+    """Return the next stage and the actions to execute."""
     return TABLE.get((stage, signal), (stage, ()))
 
 
 def bridges(buffer: int, lease_left: int) -> bool:
-    """Tell whether a buffer (µs) outlasts the longest that a move may leave the player without a host."""
+    """Return whether a buffer (µs) outlasts the longest time that a move leaves the player without a host."""
     return buffer >= max(0, lease_left) + SET_UP_ALLOWANCE
 
 
@@ -145,14 +145,14 @@
     moving: set[int] = field(default_factory=set)
     not_before: int = 0
     in_vain: int = 0
-    ends: int | None = None  # when the drain ends, if that was told
+    ends: int | None = None  # when the host will be switched off, if known
 
 
 class MovePlanner:
     """Decides at a player's poll whether its session moves now.
 
-    Sessions that would hold the drain longest go first, those of more worth among equals; no more at once
-    than the bounds; a move is one further attempt of the budget, as it sends a viewer's session once more.
+    The sessions that would delay the drain longest move first, the more valuable ones among equals, within
+    the limits on concurrent moves. A move counts against the retry budget, as it sends a session once more.
     """
 
     def __init__(self, settings: api.Settings, budget: Budget) -> None:
@@ -161,7 +161,7 @@
         self.in_flight = 0
 
     def drains(self, server: bytes, on: bool, ends: int | None = None) -> None:
-        """Take note that a host drains, with the time at which it will be switched off if that is known."""
+        """Record that a host drains or no longer does, with the time of its switch-off if that is known."""
         if not on:
             host = self._hosts.pop(server, None)
             if host is not None and host.moving:
@@ -172,7 +172,10 @@
     def why_not(
         self, now: int, server: bytes, session: int, service: api.ServiceClass, left: int | None, buffer: int
     ) -> str:
-        """Say why the session is not moved now, '' where it is; `left` µs are to play, None for ever."""
+        """Return why the session is not moved now, "" if it may move.
+
+        It has `remaining` µs left to play, None for no end, and the player has buffered `buffer` µs.
+        """
         if service.effect is not Effect.FREE:
             return "its class must not be set up again"
         host = self._hosts.setdefault(server, _Host())
@@ -205,14 +208,14 @@
         )
 
     def begin(self, now: int, server: bytes, session: int) -> None:
-        """Count a move begun."""
+        """Count a move as started."""
         host = self._hosts.setdefault(server, _Host())
         host.moving.add(session)
         host.candidates.pop(session, None)
         self.in_flight += 1
 
     def end(self, now: int, server: bytes, session: int, outcome: Signal) -> None:
-        """Count a move that is over, one way or the other."""
+        """Count a move as ended, whether or not it succeeded."""
         host = self._hosts.get(server)
         if host is None or session not in host.moving:
             return
--- a/mintmast/decisions/sessions/moving.py
+++ b/mintmast/decisions/sessions/moving.py
@@ -1,7 +1,7 @@
-"""Moves under way: the polls that wait for them, and what each step of the table does.
+"""Active moves: the polls that wait for them, and the execution of the state machine's actions.
 
-The table and the planner stand in `moves.py`. A move owns what is known of it: which session goes where, how
-long the player's buffer lasts, which polls wait. Sessions do not know that they move.
+`moves.py` has the state machine and the planner. A move owns its state: the old and the new session, how long
+the player's buffer lasts, and the waiting polls. Sessions hold no state of their moves.
 """
 
 from __future__ import annotations
@@ -27,36 +27,36 @@
 
 @dataclass(slots=True, eq=False)
 class Move:
-    """A move under way."""
+    """One active move."""
 
     old: Session
-    buffer_until: int  # until when the player's buffer lasts, by its own word (µs)
+    buffer_until: int  # when the player's buffer runs out, as reported by the player (µs)
     began: int
     stage: Stage = Stage.PLAYS
     polls: set[int] = field(default_factory=set)
-    call: int = 0  # number of the call that makes the lease short
+    call: int = 0  # call number of the renewal that shortens the lease
     new: int = 0
-    held: tuple[bytes, int] | None = None  # where the module wants the new session, until it is sent there
+    held: tuple[bytes, int] | None = None  # host and timeout of the new session until it is sent
 
 
 class Desk(Protocol):
-    """What moves ask of the book."""
+    """The book's operations that moves call."""
 
     def feed(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def place(self, now: int, session: Session) -> None:
-        """Ask the module where the session plays."""
+        """Request a host for the session from the module."""
 
     def close(self, now: int, session: Session) -> None:
-        """End a session that is not out, without an answer."""
+        """Close a session that has no attempt under way, without an answer."""
 
     def send_moved(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
-        """Send a moved session to the host that was held for it."""
+        """Send a moved session's set-up to the host where a place was held for it."""
 
 
 class Moves:
-    """The moves of one gateway."""
+    """The active moves of one gateway."""
 
     def __init__(
         self,
@@ -73,57 +73,56 @@
         self._budget = budget
         self.planner = MovePlanner(settings, budget)
         self.counts = {"moved": 0, "lost": 0, "stayed": 0, "over": 0}
-        self.reasons: dict[
-            int, str
-        ] = {}  # of sessions on hosts to be left that stay: why, at their last poll
-        self._off: dict[int, Move] = {}  # by the session that moves
-        self._onto: dict[int, Move] = {}  # by the session that it becomes
-        self._next: dict[int, int] = {}  # moved session: the one that it became
+        self.reasons: dict[int, str] = {}  # why a session stays on a draining host, as of its last poll
+        self._off: dict[int, Move] = {}  # by the old session
+        self._onto: dict[int, Move] = {}  # by the new session
+        self._next: dict[int, int] = {}  # old session: the new one
         self._polls: dict[int, Move] = {}
 
     def adopt(self, settings: api.Settings) -> None:
-        """Go on with these settings; moves under way end as they began."""
+        """Apply new settings; active moves keep the limits that they started with."""
         self._settings = self.planner.settings = settings
 
-    # What others ask
+    # Queries
 
     def moving(self, session: int) -> bool:
-        """Tell whether a session is on the move off its host."""
+        """Return whether a session is being moved off its host."""
         return session in self._off
 
     def came(self, session: int) -> bool:
-        """Tell whether a session stands for one that was moved."""
+        """Return whether a session replaces one that was moved."""
         return session in self._onto
 
     def stage(self, session: int) -> Stage | None:
-        """Give where a session's move off its host stands."""
+        """Return the stage of a session's move off its host, None if it is not moving."""
         move = self._off.get(session)
         return None if move is None else move.stage
 
     def hold(self, session: int, server: bytes, timeout_at: int) -> bool:
-        """Keep the place that the module gave to a moved session until the old one is surely over.
+        """Hold the place that the module chose for a moved session until the old one has certainly ended.
 
-        False where the session may be sent at once. Raises AssertionError where the old one may still play.
+        Returns False if the session may be sent at once. Raises AssertionError if the old session may still
+        play.
         """
         move = self._onto.get(session)
         if move is None or move.stage is Stage.SETTING_UP:
             return False
         if move.stage not in (Stage.PLACING, Stage.REPLACING):
-            raise AssertionError("a moved session sent while the old one may play")
+            raise AssertionError("set-up of a moved session requested while the old session may still play")
         move.held = server, timeout_at
         return True
 
     def moved_from(self, session: int) -> int:
-        """Give the session that this one takes the place of, 0 for none."""
+        """Return the session that this one replaces, 0 for none."""
         move = self._onto.get(session)
         return 0 if move is None else move.old.number
 
-    # What happens
+    # Events
 
     def poll(self, now: int, event: Poll, leave: Callable[[bytes], bool]) -> None:
-        """Answer a player's poll: at once, or when the move that it begins or joins is through.
+        """Answer a player's poll at once, or when the move that it starts or joins has ended.
 
-        `leave` tells whether a host is to be left.
+        `must_leave` returns whether sessions are to leave a host.
         """
         number = event.session
         while number in self._next:
@@ -154,31 +153,31 @@
         self._signal(now, move, Signal.GRANTED)
 
     def poll_gone(self, poll: int) -> None:
-        """Answer a poll no more."""
+        """Cancel a waiting poll without an answer."""
         move = self._polls.pop(poll, None)
         if move is not None:
             move.polls.discard(poll)
 
     def poll_due(self, poll: int) -> None:
-        """Answer a poll that waits no longer: play on."""
+        """Answer a poll that timed out with the session's present host."""
         move = self._polls.get(poll)
         if move is not None:
             self._steer(poll, move.old)
 
     def signal(self, now: int, session: int, signal: Signal) -> None:
-        """Tell the move of a session off its host, if there is one, what happened."""
+        """Apply a signal to the move of a session off its host, if there is one."""
         move = self._off.get(session)
         if move is not None:
             self._signal(now, move, signal)
 
     def arrived(self, now: int, session: int) -> None:
-        """Take note that a moved session plays at its new host."""
+        """Complete the move of a session that now plays at its new host."""
         move = self._onto.get(session)
         if move is not None:
             self._signal(now, move, Signal.UP)
 
     def renewed(self, now: int, session: Session, event: Renewed) -> None:
-        """Take a renewal's answer: it may be the call that made the lease short."""
+        """Process a renewal's result, which may be that of the call that shortens the lease."""
         move = self._off.get(session.number)
         if move is None or move.call != event.number or not event.answered:
             return
@@ -188,14 +187,14 @@
             self._signal(now, move, Signal.SHORT if good else Signal.NOT_SHORT)
 
     def closed(self, now: int, session: Session) -> None:
-        """Take note that a session is over, before its move or the module hear more of it."""
+        """Process the closing of a session before its move or the module receive further events of it."""
         self.reasons.pop(session.number, None)
         move = self._onto.get(session.number)
         if move is not None and move.new == session.number and move.stage is Stage.SETTING_UP:
             self._signal(now, move, Signal.DOWN)
 
     def left(self, now: int, session: int, signal: Signal) -> None:
-        """Take note that a playing session is over; nobody asks for what it once was any more."""
+        """Process the end of a playing session and forget the sessions that it replaced."""
         move = self._off.get(session)
         if move is not None:
             self._signal(now, move, signal)
@@ -206,10 +205,10 @@
             self._next.pop(came.old.number, None)
             came = self._onto.pop(came.old.number, None)
 
-    # Steps
+    # Transitions
 
     def _join(self, now: int, move: Move, event: Poll) -> None:
-        """Hold a poll until the move is through, but not beyond what the player waits."""
+        """Hold a poll until the move has ended or the player's timeout expires."""
         move.polls.add(event.poll)
         self._polls[event.poll] = move
         self._emit(Wake(now + event.budget, ("poll", event.poll)))
@@ -221,7 +220,7 @@
         self._emit(Steer(poll, *place, ask.title, ask.service, ask.best_rung, moved))
 
     def _signal(self, now: int, move: Move, signal: Signal) -> None:
-        """Follow the table; what an act causes at once is followed too."""
+        """Apply a signal and execute the transition's actions, then any signal that an action causes."""
         stage, acts = moves.step(move.stage, signal)
         if (stage, acts) == (move.stage, ()):
             return
@@ -300,15 +299,15 @@
         move.polls.clear()
 
     def _restore(self, now: int, session: Session) -> None:
-        """Give a session that stays its usual lease again."""
+        """Restore the usual lease of a session that stays at its host."""
         if session.server is not None and session.number in self._sessions.at(session.server):
             self._leases.restore(now, session.server, session)
 
     def _place(self, now: int, move: Move) -> Signal:
-        """Ask the module for a place; nothing is sent yet."""
+        """Request a place from the module; the set-up is sent later."""
         if move.stage is Stage.REPLACING:
             self._old_over(now, move)
-        elif not self._budget.allows(now):  # spent since the move began: nothing is ended yet, so it stays
+        elif not self._budget.allows(now):  # used up since the move began; nothing has been terminated yet
             return Signal.NO_ROOM
         ask = move.old.ask
         left = max(SECOND, move.old.started + ask.length - now) if ask.length else 0
@@ -319,13 +318,13 @@
         self._onto[new.number] = move
         self._desk.place(now, new)
         if move.held is not None:
-            self._budget.spend(now)  # with the module, which counts it from the same moment
+            self._budget.spend(now)  # now, because the module counts it from the same moment
         else:
             self._onto.pop(new.number, None)
         return Signal.PLACED if move.held is not None else Signal.NO_ROOM
 
     def _old_over(self, now: int, move: Move) -> None:
-        """Take the old session off the module's and the book's account: it is surely over."""
+        """Close the old session, which has certainly ended, in the book and the module."""
         old = move.old
         self._next[old.number] = move.new
         if self._sessions.get(old.number) is not None:
--- a/mintmast/decisions/sessions/orders.py
+++ b/mintmast/decisions/sessions/orders.py
@@ -1,7 +1,7 @@
-"""Operators' words that outlive a process: hosts to be drained, gateways that are gone for good.
+"""Operators' orders that persist over restarts: hosts to drain and gateways that were permanently removed.
 
-Danger: an order that the next life has forgotten is broken by it, hours after the operator was told that it
-is taken. So he hears of it when it is on disk; it holds here from the first moment all the same.
+If a restarted gateway forgot an order, it would violate it hours after the operator's request had succeeded.
+An order is therefore acknowledged only when it is on disk, although this process obeys it at once.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 
 class Orders:
-    """The orders of one gateway; `emit` takes commands."""
+    """The operators' orders of one gateway; `emit` receives commands."""
 
     def __init__(self, fleet: Fleet, keeper: Keeper, emit: Callable[[object], None]) -> None:
         self._fleet, self._keeper, self._emit = fleet, keeper, emit
-        self._stood: dict[str, tuple[int, bool]] = {}  # of other gateways: start, and whether it is forgotten
+        self._stood: dict[str, tuple[int, bool]] = {}  # other gateways: generation, removed by an operator
 
     def begin(self, now: int, kept: Recovered) -> None:
-        """Go on with what was ordered in earlier lives."""
+        """Restore the orders recorded by earlier generations."""
         self._stood = dict(kept.members)
         for server, until in kept.drains.items():
             within = None if until is None else max(0, until - kept.ran)
             self._fleet.order(now, Drain(server.encode(), True, within))
 
     def drain(self, now: int, event: Drain) -> None:
-        """Take an order to drain a host, or its end."""
+        """Apply and record an order to drain a host, or its revocation."""
         self._fleet.order(now, event)
         server = event.server
         ends = self._fleet.drains.ends(server)
@@ -42,7 +42,7 @@
         self._keeper.keep(now, Kind.DRAIN, server.decode(), until, kept, gone=not event.on)
 
     def stands(self, now: int, event: PeerStands) -> None:
-        """Keep the last start that is known of a gateway, and that an operator says it is gone."""
+        """Record the last known generation of a gateway and whether an operator has removed it."""
         told = event.start, event.proof is Proof.ORDER
         if event.start and told != self._stood.get(event.peer):
             self._stood[event.peer] = told
--- a/mintmast/decisions/sessions/recovery.py
+++ b/mintmast/decisions/sessions/recovery.py
@@ -1,13 +1,12 @@
-"""Recovery: what a start does with the paid sessions that its earlier lives had set up.
+"""Crash recovery: what a new generation does with the sessions that earlier generations had set up.
 
-A record says that a set-up may have left. What became of it only its host can tell, so the host is asked,
-and until it has answered the session is neither sent again nor refused, holds its seat, and whoever comes
-with its key waits. `outcomes.FATES` is the whole of what may be concluded, each row with its reason. A
-question also takes over: a session that plays is held by this life from then on, and a set-up that is still
-under way can not run any more.
+A record says that a set-up may have been sent. Only its host knows what became of it, so the host is queried.
+Until it replies the session is neither resent nor refused, keeps its seat, and requests with its key wait.
+`outcomes.RECOVERY_TABLE` lists every possible conclusion with its reason. The query also takes over: a
+session that plays belongs to this generation from then on, and a set-up still under way can no longer run.
 
-A host that does not answer is asked again until the session's lease is surely over: then nothing plays, its
-seat is free, and its key stays spent, as it may have run.
+A host that does not reply is queried again until the session's lease has certainly expired. Then nothing
+plays, the seat is free, and the key stays used, as the session may have run.
 """
 
 from __future__ import annotations
@@ -29,34 +28,34 @@
 from mintmast.interface import NoteKind, Outcome
 
 SECOND = 1_000_000
-# µs after which a host that did not answer is asked again, and for which one question may take
+# µs after which a host that did not reply is queried again, and the timeout of one query
 AGAIN = SECOND // 2
-# sessions in one question: some 20 kB, as in a renewal
+# sessions in one query: about 20 kB, as in a renewal
 SETTLED_AT_ONCE = 200
-# hosts asked at once: a start with a long list must not open all its connections in one moment
+# hosts queried concurrently: a start with a long list must not open all its connections at the same time
 HOSTS_AT_ONCE = 16
 
 
 class Desk(Protocol):
-    """What the recovery asks of the book."""
+    """The book's operations that the recovery calls."""
 
     def feed(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def close(
         self, now: int, session: Session, verdict: Verdict | None = None, advice: int = 0, reason: str = ""
     ) -> None:
-        """End a session, and answer those who wait."""
+        """Close a session and answer its pending requests."""
 
     def unwanted(self, now: int, session: Session) -> None:
-        """End a session that plays and nobody watches."""
+        """Terminate a session that plays but has no viewer."""
 
     def settled(self, now: int, session: Session) -> None:
-        """Let a session that plays go on, and answer those who wait."""
+        """Resume a session that plays and answer its pending requests."""
 
 
 class Recovery:
-    """One start's recovery. `emit` takes commands; `done` tells whether all is settled."""
+    """The recovery of one start; `emit` receives commands."""
 
     def __init__(
         self,
@@ -73,27 +72,27 @@
         self._desk, self._settings, self._catalogue = desk, settings, catalogue
         self._sessions, self._keys, self._leases = sessions, keys, leases
         self._claims, self._intents, self._emit = claims, intents, emit
-        self._open: dict[int, tuple[str, Intent]] = {}  # not settled: digest and record
-        self._handed = False  # the module knows of them
-        self._waiting: deque[bytes] = deque()  # hosts still to be asked
-        self._asked: dict[bytes, int] = {}  # hosts that are being asked: number of the call
+        self._open: dict[int, tuple[str, Intent]] = {}  # unsettled session: digest and record
+        self._handed = False  # whether the module knows the unsettled sessions
+        self._waiting: deque[bytes] = deque()  # hosts still to be queried
+        self._asked: dict[bytes, int] = {}  # host being queried: call number
         self.counts = dict.fromkeys((*(each.value for each in Fate), "not offered"), 0)
 
     def adopt(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings."""
+        """Apply new settings."""
         self._settings, self._catalogue = settings, catalogue
 
     def holds(self, session: int) -> bool:
-        """Tell whether a session of an earlier life is not settled yet."""
+        """Return whether a session of an earlier generation is not settled yet."""
         return session in self._open
 
     @property
     def open(self) -> int:
-        """Sessions that are not settled yet."""
+        """Number of sessions that are not settled yet."""
         return len(self._open)
 
     def begin(self, now: int, kept: Recovered) -> None:
-        """Take the records of earlier lives; nothing is asked before the hosts are known."""
+        """Restore the records of earlier generations; no host is queried before the hosts are known."""
         for digest, (intent, keep) in sorted(kept.intents.items(), key=lambda each: each[1][1]):
             self._claims.restore(now, digest, intent.owner, intent.number, keep)
             numbers = self._catalogue.numbers(intent)
@@ -109,7 +108,7 @@
             self._emit(Say("unsettled", (("sessions", len(self._open)), ("hosts", len(self._waiting)))))
 
     def _found(self, now: int, digest: str, intent: Intent, numbers: tuple[int, int, int]) -> None:
-        """Open a session again as one whose attempt is out."""
+        """Reopen a session as one with an attempt under way."""
         service, tenant, title = numbers
         over = now + 2 * self._leases.length
         where = intent.home, intent.copies, intent.best_rung
@@ -119,7 +118,7 @@
         session.server, session.epoch, session.rung = intent.server.encode(), intent.epoch, intent.rung
         session.sent_at, session.attempts = now, 1
         session.lease = Lease()
-        # what the life before gave last is over by then, as if it had been sent at this start
+        # bounds the last lease of the earlier generation as if it had been granted at this start
         session.lease.asked(0, now, self._leases.length, None)
         if not session.free:
             self._keys.take(intent.key, session.number)
@@ -128,10 +127,10 @@
         self._emit(Named(session.number, intent.session))
 
     def hosts_known(self, now: int) -> None:
-        """Hand the sessions to the module, once it knows of hosts, and begin to ask.
+        """Pass the unsettled sessions to the module once it knows hosts, and start to query them.
 
-        Danger: before it knows a host it would charge nothing for them. Before it knows one it sends nothing
-        either, so their seats count from its first decision on.
+        Before the module knows a host it would reserve no capacity for these sessions. It also places no
+        session before that, so their seats count from its first decision on.
         """
         if self._handed:
             return
@@ -144,7 +143,7 @@
         self.go_on(now)
 
     def go_on(self, now: int) -> None:
-        """Ask hosts, as many at once as may be."""
+        """Query waiting hosts up to the concurrency limit."""
         while self._waiting and len(self._asked) < HOSTS_AT_ONCE:
             self._ask(now, self._waiting.popleft())
 
@@ -158,12 +157,12 @@
         self._emit(SendSettle(server, told, now + AGAIN, number, clock, self._leases.length))
 
     def _at(self, server: bytes) -> list[Session]:
-        """Give what is not settled at a host."""
+        """Return the unsettled sessions at a host."""
         found = (self._sessions.by_number[number] for number in self._open)
         return [each for each in found if each.server == server]
 
     def settled(self, now: int, event: Settled) -> None:
-        """Take a host's answer, or that there was none."""
+        """Process the end of a query, with or without a reply."""
         if self._asked.get(event.server) != event.number:
             return
         del self._asked[event.server]
@@ -179,7 +178,7 @@
         self.go_on(now)
 
     def again(self, now: int, server: bytes) -> None:
-        """Ask a host once more."""
+        """Queue another query of a host."""
         if server not in self._asked and server not in self._waiting:
             self._waiting.append(server)
         self.go_on(now)
@@ -197,7 +196,7 @@
             self._emit(Say("all_settled", tuple(self.counts.items())))
         server = session.server or b""
         if fate is Fate.PLAYS and session.free and self._keys.holder(intent.key):
-            self._desk.unwanted(now, session)  # its viewer came again and has another one by now
+            self._desk.unwanted(now, session)  # the viewer has retried and already has another session
             return
         if fate is Fate.PLAYS:
             self._keys.take(intent.key, number)
--- a/mintmast/decisions/sessions/sessions.py
+++ b/mintmast/decisions/sessions/sessions.py
@@ -1,9 +1,9 @@
-"""A session at its gateway: the states as one table, the record, and where each session is found.
+"""A session at its gateway: its state machine, its record, and the index of all sessions.
 
-`TABLE` is the whole machine. The book follows it, the model check (`tests/test_sessions.py`) walks it against
-hosts that die and a network that loses, delays and repeats, and `docs/design/book.md` shows it. A signal that
-the table does not have for a state is an error of the program, not an input: whoever raises one has looked at
-the stage before.
+`TRANSITIONS` is the complete state machine. The book follows it, the model check (`tests/test_sessions.py`)
+explores it with hosts that crash and a network that loses, delays and duplicates messages, and
+`docs/design/book.md` documents it. A signal that has no transition from the present stage is a programming
+error: callers check the stage first.
 """
 
 from __future__ import annotations
@@ -17,44 +17,44 @@
 
 
 def name_of(gateway: str, start: int, number: int) -> str:
-    """Give a session's name on wires: unique over gateways and their lives."""
+    """Return a session's name on the wire, unique over all gateways and their generations."""
     return f"{gateway}-{start:x}-{number}"
 
 
 class Stage(Enum):
-    """Where a session stands."""
+    """The state of a session."""
 
-    ASKED = "asked"  # nothing is out; the module decides, or a move holds the place that it gave
-    OUT = "out"  # one attempt is out
+    ASKED = "asked"  # no attempt is under way; the module decides, or a move holds the place that it chose
+    OUT = "out"  # one attempt is under way
     SPENT = "spent"  # an attempt may have run and the class must not run twice: it can only be closed
     PLAYS = "plays"
     OVER = "over"
 
 
 class Signal(Enum):
-    """What happens to a session."""
+    """An input of the session's state machine."""
 
     SENT = "sent"  # the module has chosen a host
-    STARTED = "started"  # the host says that it runs
-    UNWATCHED = "unwatched"  # the same, but nobody is left to watch it
+    STARTED = "started"  # the host reported that it runs
+    UNWATCHED = "unwatched"  # the host reported that it runs, but no viewer waits for it any more
     NEVER_RAN = "never ran"  # the attempt provably did not run
     MAY_HAVE_RUN = "may have run"
-    CALLED_OFF = "called off"  # the module calls the attempt off
+    CALLED_OFF = "called off"  # the module cancels the attempt
     CLOSED = "closed"  # refused, failed, or its place given back
-    ENDED = "ended"  # over at its host: by the host's word, with its process, or with its lease
-    TAKEN_OFF = "taken off"  # the gateway ends it at its host
+    ENDED = "ended"  # ended at its host: by the host's report, with its process, or with its lease
+    TAKEN_OFF = "taken off"  # the gateway terminates it at its host
 
 
 class Act(Enum):
-    """What follows from a signal."""
+    """What the book executes on a transition."""
 
     SET_UP = "set up"
-    END = "end"  # see to it that the host holds it no more
+    END = "end"  # terminate it at the host until that is confirmed
     CALL_OFF = "call off"
 
 
 _S, _G, _A = Stage, Signal, Act
-# (stage, signal): next stage, acts
+# (stage, signal): (next stage, actions)
 TABLE: dict[tuple[Stage, Signal], tuple[Stage, tuple[Act, ...]]] = {
     (_S.ASKED, _G.SENT): (_S.OUT, (_A.SET_UP,)),
     (_S.ASKED, _G.CLOSED): (_S.OVER, ()),
@@ -67,64 +67,64 @@
     (_S.PLAYS, _G.ENDED): (_S.OVER, ()),
     (_S.PLAYS, _G.TAKEN_OFF): (_S.OVER, (_A.END,)),
 }
-# a class that may be set up again goes on where others are spent
+# a session of a class that may be set up again can be resent where others can only be closed
 FREE_TABLE = {**TABLE, (_S.OUT, _G.MAY_HAVE_RUN): (_S.ASKED, (_A.END,))}
 
 
 class StepError(AssertionError):
-    """A signal that cannot come at the stage: two attempts out, or a spent session sent again."""
+    """A signal without a transition from the stage, such as a second attempt while one is under way."""
 
 
 def step(stage: Stage, signal: Signal, free: bool) -> tuple[Stage, tuple[Act, ...]]:
-    """Give the next stage and what to do; `free` tells that the class may be set up again.
+    """Return the next stage and the actions; `is_free` says that the class may be set up again.
 
-    Raises StepError for a signal that the stage does not know.
+    Raises TransitionError for a signal without a transition from the stage.
     """
     try:
         return (FREE_TABLE if free else TABLE)[stage, signal]
     except KeyError:
-        raise StepError(f"{signal.value} at a session that is {stage.value}") from None
+        raise StepError(f"session in stage {stage.value!r} has no transition for {signal.value!r}") from None
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One session; behind each group of fields stands the part that writes them."""
+    """One session; the comments name the part that writes each group of fields."""
 
     number: int
     ask: Ask
-    deadline: int  # µs; a viewer waits no longer
+    deadline: int  # µs; when the viewer's timeout expires
     effect: Effect
-    rung: int = 0  # the book, by the module's word
-    waiting: dict[int, int] = field(default_factory=dict)  # asks: ask and its deadline
-    # set-ups
+    rung: int = 0  # written by the book, as the module decides
+    waiting: dict[int, int] = field(default_factory=dict)  # by `requests`: id, deadline
+    # written by `setups`
     stage: Stage = Stage.ASKED
     server: bytes | None = None
     epoch: int = 0
     attempts: int = 0
     sent_at: int = 0
-    held_back: bool = False  # its attempt waits for its intent to be durable; nothing has left
-    why: str = ""  # what a refusal rests on, where it is not want of room
-    started: int = 0  # when it first played, also at the host from which it was moved
-    ran: bool = False  # when it was over, something of it may have run
-    lease: Lease | None = None  # leases
+    held_back: bool = False  # the attempt waits until its intent is durable; nothing has been sent
+    why: str = ""  # the reason of a refusal other than lack of capacity
+    started: int = 0  # µs; when it first played, at whichever host
+    ran: bool = False  # set when it is closed: an attempt may have run
+    lease: Lease | None = None  # written by `leases`
 
     @property
     def free(self) -> bool:
-        """Tell whether it may be set up again, whatever ran."""
+        """Return whether it may be set up again even if an attempt has run."""
         return self.effect is Effect.FREE
 
     @property
     def out(self) -> bool:
-        """Tell whether an attempt is out."""
+        """Return whether an attempt is under way."""
         return self.stage is Stage.OUT
 
     @property
     def playing(self) -> bool:
-        """Tell whether it plays."""
+        """Return whether it plays."""
         return self.stage is Stage.PLAYS
 
     def take(self, signal: Signal) -> tuple[Act, ...]:
-        """Go on by the table; give what follows. Raises StepError."""
+        """Apply a signal and return the actions to execute. Raises TransitionError."""
         before = self.stage
         self.stage, acts = step(before, signal, self.free)
         self.ran = self.stage is Stage.OVER and before is not Stage.ASKED
@@ -132,7 +132,7 @@
 
 
 class Sessions:
-    """All sessions that are not over, by number and, of those that play, by host."""
+    """All open sessions by number, and the playing ones by host."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Session] = {}
@@ -140,25 +140,25 @@
         self._number = 0
 
     def open(self, ask: Ask, deadline: int, effect: Effect) -> Session:
-        """Begin a session."""
+        """Open a session with the next number."""
         self._number += 1
         session = self.by_number[self._number] = Session(self._number, ask, deadline, effect)
         return session
 
     def get(self, number: int) -> Session | None:
-        """Give a session that is not over."""
+        """Return an open session, None if there is none of that number."""
         return self.by_number.get(number)
 
     def plays(self, session: Session, server: bytes) -> None:
-        """Find it at its host from now on."""
+        """Index a session that started to play at its host."""
         self._at.setdefault(server, {})[session.number] = session
 
     def at(self, server: bytes) -> dict[int, Session]:
-        """Give the sessions that play at a host; not to be changed."""
+        """Return the sessions that play at a host; the caller must not change the mapping."""
         return self._at.get(server, {})
 
     def forget(self, session: Session) -> None:
-        """Find it no more."""
+        """Remove a closed session from both indexes."""
         self.by_number.pop(session.number, None)
         if session.server is not None:
             at = self._at.get(session.server)
--- a/mintmast/decisions/sessions/setups.py
+++ b/mintmast/decisions/sessions/setups.py
@@ -1,4 +1,4 @@
-"""Set-ups: one attempt out for a session, numbered by epochs that only grow, and what became of each."""
+"""Set-up attempts: at most one under way for a session, numbered by increasing epochs, and their results."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.sessions import Act, Session, Signal
 
-# what must be done before a session leaves, with the reading of its host's clock; `then(now, good)` lets it
+# (now, session, reading of the host's clock, on_recorded): must call `on_recorded(now, is_durable)` once the
+# set-up may be sent or must be dropped
 Before = Callable[[int, Session, int, Callable[[int, bool], None]], None]
 
 
 class SetUps:
-    """The set-ups of one gateway; `epoch` is the highest ever given, `table` the outcomes (for drills).
+    """The set-up attempts of one gateway.
 
-    `before` lets an attempt leave, or says that it may not: `unrecorded` hears of that one's end.
+    `last_epoch` is the highest epoch ever used; drills replace `outcome_table`. `record_before` decides
+    whether a recorded attempt may be sent; `on_unrecorded` is called with the end of one that may not.
     """
 
     def __init__(
@@ -33,10 +35,10 @@
         self._before, self._unrecorded = before, unrecorded
         self._leases, self._ends, self._emit = leases, ends, emit
         self._epoch, self._table = epoch, table or TABLE
-        self.late = 0  # sessions found running after their attempt was given up
+        self.late = 0  # sessions that started after their attempt had been abandoned
 
     def send(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
-        """Send an attempt. Raises StepError where one is out, or where the session may not run again."""
+        """Send an attempt. Raises TransitionError if one is under way or the session must not run again."""
         session.take(Signal.SENT)
         self._epoch += 1
         session.server, session.epoch, session.sent_at = server, self._epoch, now
@@ -47,7 +49,7 @@
 
         def leave(at: int, good: bool) -> None:
             if not session.held_back or session.epoch != epoch:
-                return  # given up meanwhile, and sure that nothing left
+                return  # abandoned meanwhile, with nothing sent
             attempt = session.attempts - 1
             if not good:
                 self._unrecorded(at, SetUpEnded(session.number, attempt, Evidence.UNRECORDED))
@@ -60,9 +62,10 @@
         self._before(now, session, self._leases.reading(server), leave)
 
     def ended(self, now: int, session: Session | None, event: SetUpEnded) -> Row | None:
-        """Take what was seen of an attempt; None where it had been given up before.
+        """Process the end of an attempt and return its outcome row; None if it had been abandoned.
 
-        That one's end at the host is under way since then. One that may hold it is ended here.
+        The termination of an abandoned attempt was started when it was abandoned. Any other attempt that the
+        host may hold is terminated here.
         """
         if session is not None and session.server is not None:
             self._leases.heard(session.server, event.told.clock, now, session.sent_at)
@@ -73,12 +76,12 @@
         session.held_back = False
         if row.outcome is not None and session.server is not None:
             session.take(Signal.NEVER_RAN if row.never_ran else Signal.MAY_HAVE_RUN)
-            if may_have_run(event.evidence):  # by what was seen, whatever a drill's table makes of it
+            if may_have_run(event.evidence):  # by the real table, even if a drill has replaced the outcomes
                 self._ends.end(now, session, session.server)
         return row
 
     def give_up(self, now: int, session: Session, signal: Signal) -> None:
-        """Call an attempt off, or end what nobody watches."""
+        """Cancel an attempt, or terminate a session that has no viewer."""
         if session.held_back:
             session.held_back = False
             session.take(Signal.NEVER_RAN)
