--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -1,4 +1,4 @@
-"""The session book alone: rows of the outcome table, hard cases, and random days without a network."""
+"""Tests the session book alone: the outcome table, edge cases, and random event sequences."""
 
 import random
 from dataclasses import replace
@@ -151,7 +151,7 @@
             now += 1000
             numbers = tuple(each[0] for each in renew.sessions)
             book.take(now, b.Renewed(sent.server, now - 1000, renew.number, answered, True, numbers))
-    # five answered, then some more may have arrived unheard; over, and not before these can have run out
+    # five were answered and later ones may have arrived; the session ends only after these can have expired
     assert 7 <= renewals <= 9 and sent.session not in book.sessions.by_number
     assert now >= T0 + (renewals + 3) * LEASE // 3
 
@@ -190,7 +190,7 @@
     assert sent.session not in book.sessions.by_number
     assert one(book.take(T0 + 3 * S, ask(2, service=1)), b.Give).verdict is b.Verdict.REFUSED
     book.take(T0 + 4 * S, b.HostHello(sent.server, "p2", 10_000, False))
-    # back and cold: the cold pace of the module holds, as its start is known
+    # the host is back with cold caches: the module paces set-ups there, as the start of its process is known
     counts = [len(only(book.take(T0 + 4 * S + n, ask(10 + n, service=1)), b.SendSetUp)) for n in range(30)]
     assert 1 <= sum(counts) <= 4
 
@@ -215,10 +215,10 @@
 
 @given(CALLS, st.integers(-99, 99), st.integers(0, 10**9))
 def test_lease_is_held_and_over_however_late_a_host_works_off_what_came(calls, percent, offset):
-    """A host on its own clock that may stand still and take renewals long after they were given up."""
+    """The host has its own clock, can be suspended, and may process renewals long after they timed out."""
     rate = 1 + percent / 100 * DRIFT * 0.99
 
-    def host(at):  # its clock at a time of ours
+    def host(at):  # the host's clock at a time on the gateway's clock
         return offset + int((at - T0) * rate)
 
     lease, clock, now = Lease(), HostClock(), T0
@@ -234,11 +234,11 @@
             lease.answered(number)
             clock.heard(host(now - there), now, now - there * 2)
     until = last = 0
-    for _, number, ends in sorted(taken):  # as the host takes them: an old one that comes late is passed over
+    for _, number, ends in sorted(taken):  # in the order of processing; the host ignores outdated calls
         if number > last:
             until, last = ends, number
     if calls:
-        over = T0 + (until - offset) / rate  # on our clock
+        over = T0 + (until - offset) / rate  # on the gateway's clock
         assert over <= lease.over_at and lease.proven
         if all(answered for *_, answered in calls):
             assert lease.sure_until <= over + 1
@@ -262,7 +262,7 @@
     world = Fake(book)
     for what, draw in events:
         world.step(what, draw)
-    for _ in range(300):  # let everything run out
+    for _ in range(300):  # until all timers and leases have expired
         world.step("wait", 250_000)
     world.finished()
 
@@ -284,7 +284,7 @@
 
 
 class Fake:
-    """Hosts and viewers as a random day has them; what the book sends is checked as it is sent."""
+    """Simulates hosts and viewers of a random event sequence; checks each command as the book sends it."""
 
     def __init__(self, book):
         self.book, self.now, self.asks = book, T0, 0
@@ -297,15 +297,15 @@
         for command in self.book.take(self.now, event):
             match command:
                 case b.Steer(poll):
-                    assert poll in self.polls, "a second answer to a poll"
+                    assert poll in self.polls, "poll answered twice"
                     self.polls.remove(poll)
                 case b.SendSetUp(session, attempt, server, _, epoch, until, ask, _, _, moved_from):
                     assert moved_from not in {number for number, _ in self.held}, "moved while it plays"
-                    assert not (moved_from and ask.service == 0), "a paid session moved"
-                    assert session not in self.out, "two attempts out"
+                    assert not (moved_from and ask.service == 0), "paid session moved"
+                    assert session not in self.out, "two attempts under way"
                     paid = ask.service == 0
-                    assert not (paid and session in self.may_have_run), "paid session sent again"
-                    assert not (paid and self.key_ran.get(ask.key)), "paid key sent again"
+                    assert not (paid and session in self.may_have_run), "paid session sent twice"
+                    assert not (paid and self.key_ran.get(ask.key)), "paid key sent twice"
                     assert not ask.ask or until <= self.deadline[ask.ask]
                     self.out[session] = (attempt, server, epoch, until, ask)
                     self.held[session, server] = epoch
@@ -316,7 +316,7 @@
                         self.held.pop((session, server), None)
                     self.wakes.append((self.now + 1000, b.EndEnded(session, server, bool(epoch % 3))))
                 case b.Give(number, verdict, session):
-                    assert number not in self.answered, "second answer"
+                    assert number not in self.answered, "request answered twice"
                     assert number not in self.left, "answer to a viewer who left"
                     assert self.now <= self.deadline[number] + BACKSTOP, "late answer"
                     self.answered[number] = verdict
@@ -377,7 +377,7 @@
             self.wait(self.now + draw)
 
     def died(self, server):
-        """What plays in a process ends with it; set-ups on their way may find the next one."""
+        """End the sessions of a host's process; set-ups under way may reach its next process."""
         for session, place in list(self.held):
             if place == server and session not in self.out:
                 del self.held[session, place]
@@ -413,7 +413,7 @@
         self.now = max(self.now, until)
 
     def finished(self):
-        assert set(self.answered) | self.left == set(range(1, self.asks + 1)), "an ask without an answer"
+        assert set(self.answered) | self.left == set(range(1, self.asks + 1)), "request without an answer"
         assert not self.out and not self.polls
         held = {session for session, _ in self.held}
-        assert held <= set(self.book.sessions.by_number), "a host holds a session that nobody ends"
+        assert held <= set(self.book.sessions.by_number), "a host holds a session that is never terminated"
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The attempts' budget: what a gateway counts and what an observer of the hosts may conclude from it."""
+"""Tests the retry budget: what a gateway counts, and what an observer of the hosts may conclude from it."""
 
 from dataclasses import replace
 
@@ -19,7 +19,10 @@
 
 
 def play(steps, gate):
-    """Viewers ask or further attempts are wished for; those that the gate lets through arrive later."""
+    """Simulate viewers' requests and further attempts; return the violations seen by an observer of arrivals.
+
+    Attempts that the budget allows arrive at a host with a delay.
+    """
     rows, now = [], 0
     for number, (gap, asks, under_way) in enumerate(steps):
         now += gap
@@ -44,7 +47,7 @@
 
 def test_a_gate_that_lets_moves_earn_attempts_is_seen():
     class Earning(Budget):
-        """As it was: a move's request counted like a viewer's."""
+        """Counts the request of each move as if a viewer had made it."""
 
         def spend(self, now):
             super().spend(now)
@@ -55,7 +58,10 @@
 
 
 def test_draining_racks_of_a_large_fleet_keep_the_budget():
-    """48 hosts, 8 gateways, 84 viewers a second: moves were counted as requests that earn attempts."""
+    """Guards against moves that count as viewers' requests and so raise the budget.
+
+    It takes a fleet of this size (48 hosts, 8 gateways, 84 viewers a second) to make the violation visible.
+    """
     day = replace(drills.DRILLS["drain-rack"].day, hosts=48, gateways=8, rate=84.0, uplink_kb=7800.0)
     report = drills.run("drain-rack", 777, "memory", day=replace(day, whole_s=14.0))
     seen = report["rules"]["budget"]
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves: the table walked exhaustively, the planner's choices, and drains in the midst of clips."""
+"""Tests moves: the state machine explored exhaustively, the planner's choices, drains during playback."""
 
 import json
 
@@ -16,9 +16,9 @@
 T0 = 1000 * S
 
 
-# The model: one gateway, the old and the new host, and a network that loses, delays and repeats.
-# State: (stage, old lives, old is fenced, new lives, messages that may still arrive, lease ran out, gateway
-# lives,         new host lives, a place is held)
+# The model: one gateway, the old and the new host, and a network that loses, delays and duplicates messages.
+# State: (stage, old session lives, old epoch is fenced, new session lives, messages that may still arrive,
+# lease has expired, gateway lives, new host lives, a place is held)
 
 
 def successors(state):
@@ -57,7 +57,7 @@
         yield "no room", signal(Signal.NO_ROOM)
         yield "set-up failed", signal(Signal.DOWN)
         if not old and not fenced:
-            yield "left", signal(Signal.LEFT)  # it ended by itself, and the host said so
+            yield "left", signal(Signal.LEFT)  # it ended by itself, and the host reported it
         if over:
             yield "lease over", signal(Signal.LEASE_OVER)
         if "short ok" in net:
@@ -69,7 +69,7 @@
         if "up" in net:
             yield "up", signal(Signal.UP)
         yield "gateway dies", (stage, old, fenced, new, net, over, False, host, False)
-    # the hosts, whatever became of the gateway; a message may arrive any number of times, or never
+    # the hosts, whether or not the gateway lives; a message may arrive any number of times, or never
     if "short" in net and old:
         yield "short arrives", (*state[:4], net | {"short ok"}, *state[5:])
     if "end" in net:
@@ -79,7 +79,7 @@
     if old:
         yield "clip ends", (stage, False, *state[2:])
         yield "old host dies", (stage, False, fenced, new, net | {"old died"}, *state[5:])
-        # the lease runs out at the host: only where it is renewed no more
+        # the lease expires at the host, but only if it is no longer renewed
         if not gateway or stage in (Stage.PREPARING, Stage.PLACING, Stage.ENDING, Stage.WAITING):
             yield "lease runs out", (stage, False, fenced, new, net, True, *state[6:])
     if not old and not over:
@@ -121,7 +121,7 @@
     except AssertionError as error:
         assert "old session lives" in str(error) or "two live" in str(error)
     else:
-        raise AssertionError("the model check sees nothing")
+        raise AssertionError("the model check does not detect the fault")
 
 
 def test_no_stage_before_the_old_session_is_surely_over_sets_up():
@@ -147,7 +147,7 @@
     ]
     for number, (kind, left, buffer, why) in enumerate(cases):
         assert planner.why_not(T0, b"h", number, kind, left, buffer) == why
-    planner.drains(b"h", True, T0 + 60 * S)  # told to be empty in a minute: what ends before stays
+    planner.drains(b"h", True, T0 + 60 * S)  # must be empty in a minute: sessions that end before stay
     assert planner.why_not(T0, b"h", 9, service(), 30 * S, 9 * S) == "it ends by itself"
     assert planner.why_not(T0, b"h", 9, service(), 90 * S, 9 * S) == ""
 
@@ -179,10 +179,10 @@
     for number in range(20):
         if not planner.why_not(T0, b"h", number, service(), 30 * S, 9 * S):
             planner.begin(T0, b"h", number)
-            budget.spend(T0)  # as its place is held
+            budget.spend(T0)  # as the book does when a place is held
             planner.end(T0, b"h", number, Signal.UP)
             moved += 1
-    assert moved == 2  # 2 free and 0.1 of 10 taken, less the one resent
+    assert moved == 2  # 2 free and 0.1 of 10 requests, less the one that was resent
     assert not planner.why_not(T0 + 10 * S, b"h", 50, service(), 30 * S, 9 * S)
 
 
@@ -236,7 +236,7 @@
     assert stages == ["setting up"]
     over = next(row for row in small.seen("session_over") if row["why"] == "ended by its gateway")
     moved = next(row for row in small.seen("ran") if row["came_from"])
-    assert moved["at"] - over["at"] > SECOND  # the lease was waited for
+    assert moved["at"] - over["at"] > SECOND  # the move waited for the lease to expire
 
 
 def test_without_room_elsewhere_a_session_stays_where_it_is():
@@ -313,7 +313,7 @@
     told = json.loads(order(small, {}, path="/v1/moves", method="GET").body)["draining"]
     assert list(told) == [host.name] and told[host.name]["sessions"] == 1
     assert list(told[host.name]["held_by"].values()) == ["its class must not be set up again"]
-    for number in range(12):  # nothing new goes there
+    for number in range(12):  # no new session is placed there
         small.manifest(FREE, key=f"n{number}")
     small.run(1)
     assert {row["host"] for row in small.seen("ran")[1:]}.isdisjoint({host.name})
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Paid set-ups over a gateway's death: recorded before they leave, settled by their hosts' word, once."""
+"""Tests crash recovery: paid set-ups are recorded before they are sent and settled by hosts' reports."""
 
 from collections import deque
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 class Life:
-    """One life of a gateway with a store; `rows` is its disk."""
+    """One run of a gateway's process with a store; `rows` is its disk."""
 
     def __init__(self, rows, now=T0, start=7, members=(), names=NAMES, seats=2):
         self.rows, self.now = rows, now
@@ -48,7 +48,7 @@
         return found
 
     def flush(self, good=True):
-        """Let the disk take what waits."""
+        """Complete the pending writes of the store; they fail if `good` is false."""
         for write in self.got(Write):
             if good:
                 for each in write.records:
@@ -59,7 +59,7 @@
                 self.take(Written(write.token, good))
 
     def due(self, name):
-        """Let the first wake of a kind come."""
+        """Fire the first pending timer of a kind."""
         wake = next(each for each in self.out if isinstance(each, b.Wake) and each.token[0] == name)
         self.out.remove(wake)
         self.now = max(self.now, wake.at)
@@ -79,7 +79,7 @@
 
 
 def played(rows, **more):
-    """Let a paid session play in one life; give its set-up."""
+    """Play a paid session in one run of the gateway and return its set-up."""
     first = Life(rows, **more)
     first.ask(1)
     assert not first.got(b.SendSetUp)  # not before the record is durable
@@ -96,7 +96,7 @@
     life.flush(good=False)
     (give,) = life.got(b.Give)
     assert give.verdict is b.Verdict.REFUSED and "records" in give.reason and not life.got(b.SendSetUp)
-    life.ask(2)  # the disk stands: his time goes by, and nothing has left
+    life.ask(2)  # the disk hangs: the request times out with nothing sent
     life.got(b.Give)
     writes = life.got(Write)
     life.due("late")
@@ -111,7 +111,7 @@
     life.flush()
     assert len(life.got(b.SendSetUp)) == 1
     life.ask(5, "free one", service=1)
-    assert len(life.got(b.SendSetUp)) == 1  # waits for nothing
+    assert len(life.got(b.SendSetUp)) == 1  # does not wait for the record
 
 
 def test_a_session_that_plays_goes_on_in_the_next_life_under_its_name_and_on_its_seat():
@@ -122,7 +122,7 @@
     assert named.name == "g0-7-1"
     life.ask(1)
     life.ask(2, "other")
-    assert life.verdicts() == [b.Verdict.REFUSED]  # the one seat is held; who has the key waits
+    assert life.verdicts() == [b.Verdict.REFUSED]  # the only seat is taken; the request with the key waits
     life.settle(Word.PLAYS)
     (give,) = life.got(b.Give)
     assert (give.verdict, give.server, give.rung, give.epoch) == (b.Verdict.PLAYS, sent.server, 2, sent.epoch)
@@ -162,7 +162,7 @@
     for claim in first.got(talk.SendClaim):
         first.take(talk.Voted(claim.peer, claim.number, talk.Vote.GRANTED, (), 5))
     first.flush()
-    assert len(first.got(b.SendSetUp)) == 1  # and the gateway dies
+    assert len(first.got(b.SendSetUp)) == 1  # and the gateway crashes
     life = Life(rows, now=T0 + S, start=8, members=members)
     life.ask(1)
     life.settle(Word.NOT_HERE)
@@ -254,21 +254,21 @@
         assert b.Verdict.PLAYS not in life.verdicts()
 
 
-# What a host's word proves: a walk through everything that may happen to one set-up
+# What a host's report proves: exhaustive exploration of all that may happen to one set-up
 
 
 FIELDS = "stage clock record out host fenced ran plays asks answers fate".split()
 
 
 def walk(fates=FATES, covers=reaches, fence=True, record_first=True):
-    """Walk a paid set-up, its gateway's death, its host's restart, and questions that are late or lost.
+    """Explore a paid set-up with a crash of its gateway, a restart of its host, and delayed or lost queries.
 
-    A state is (gateway, reading, record on disk, set-up, host's life, fenced there, ran in which life, plays,
-    questions under way, answers under way, conclusion). Set-ups and questions are bound to the process that
-    they were sent to.
-    Gives how many states there are, and the first that breaks a promise, if any.
+    A state is (gateway, clock reading, record on disk, set-up, host's process, fenced there, the process in
+    which it ran, plays, queries under way, replies under way, conclusion). Set-ups and queries are bound to
+    the process to which they were sent.
+    Returns the number of states, and the first state that violates an invariant, if any.
     """
-    # set-up: "none", "held" (waits for its record), ("out", life of the host), "gone"; clock: -1, 0 or 1
+    # set-up: "none", "held" (waits for its record), ("out", the host's process), "gone"; clock: -1, 0 or 1
     begin = [("held", clock, None, "none", 0, False, None, False, (), (), None) for clock in (-1, 0)]
     if not record_first:
         begin = [(*each[:3], ("out", 0), *each[4:]) for each in begin]
@@ -280,7 +280,7 @@
         if fate is Fate.NEVER_RAN and (ran is not None or may_run):
             return len(seen), state
         if stage == "lost" and (ran is not None or may_run):
-            return len(seen), state  # the next life knows of nothing, and would set it up again
+            return len(seen), state  # the next run of the gateway has no record and would set it up again
         after = []
 
         def to(state=state, after=after, **more):
@@ -298,9 +298,9 @@
         if may_run:
             to(out="gone", ran=host, plays=True)
         if out != "none":
-            to(out="gone")  # lost on the way, or refused
+            to(out="gone")  # lost in the network, or refused
         if host == 0:
-            to(host=1, fenced=False, plays=False)  # a new process, which knows nothing of the old
+            to(host=1, fenced=False, plays=False)  # a new process without memory of the old one
         if plays:
             to(plays=False)
         if stage == "asking" and fate is None and len(asks) + len(answers) < 2:
@@ -333,8 +333,8 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        {"covers": lambda clock, since: True},  # a host that started anew is believed
-        {"fence": False},  # a set-up still under way may run after the question
+        {"covers": lambda clock, since: True},  # a restarted host is believed
+        {"fence": False},  # a set-up still under way may run after the query
         {"record_first": False},
         {"fates": {**FATES, (Word.RAN, True): FATES[Word.NOT_HERE, True]}},
     ],
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""A session's table walked exhaustively, and sessions whose hosts leave the list while they play."""
+"""Tests a session's state machine by exhaustive exploration, and sessions whose hosts leave the list."""
 
 from itertools import product
 
@@ -13,10 +13,11 @@
 from mintmast.decisions.sessions.sessions import Act, Signal, Stage, StepError, step
 from mintmast.interface import ServerState
 
-# The model: one paid session, its gateway, two hosts A and B, and a network that loses, delays and doubles.
-# Each host is (lives, epoch that runs, fenced epoch). A gateway that comes back is another life with sessions
-# of its own; what the old one left is its hosts' to end.
-# State: (stage, epoch, answered, charges, hosts, messages that may still arrive, gateway lives, ends owed)
+# The model: one paid session, its gateway, two hosts A and B, and a network that loses, delays and duplicates
+# messages. Each host is (lives, running epoch, fenced epoch). A restarted gateway is a new generation with
+# its own sessions; the hosts end those of the old one.
+# State: (stage, epoch, answered, charges, hosts, messages that may still arrive, gateway lives, pending
+# terminations)
 HOSTS = "AB"
 
 
@@ -28,7 +29,7 @@
     stage, epoch, answered, charges, hosts, net, gateway, owed = state
 
     def signal(kind, place=None, answer=False, leaves=True):
-        """Let the gateway take a signal; None where its table does not know it."""
+        """Apply a signal at the gateway; None if there is no transition for it."""
         try:
             after, acts = step(stage, kind, free)
         except StepError:
@@ -76,12 +77,12 @@
             if not any(runs for _, runs, _ in hosts):
                 yield "ended", signal(Signal.ENDED)
         yield "gateway dies", (*state[:6], False, frozenset())
-    for kind, place, number in net:  # any message may arrive late, or any number of times, or never
+    for kind, place, number in net:  # any message may arrive late, any number of times, or never
         lives, runs, fence = hosts[HOSTS.index(place)]
         if not lives:
             continue
         if kind == "set-up" and number > fence and not runs:
-            # once for each idempotency key: a copy that comes later is answered and does not run
+            # a host runs each idempotency key once: it answers a later duplicate without running it
             first = ("ran", place, number) not in net
             ran = put(place, (True, number if first else 0, fence))
             told = net | {("started", place, number), ("ran", place, number)}
@@ -94,9 +95,9 @@
             yield "end arrives", (*state[:4], ended, net | {("ended", place, number)}, gateway, owed)
     for place in HOSTS:
         lives, runs, fence = hosts[HOSTS.index(place)]
-        if lives and runs:  # also while it plays: renewals may be lost
+        if lives and runs:  # also while it plays, as renewals may be lost
             yield "lease runs out", (*state[:4], put(place, (True, 0, max(fence, runs))), *state[5:])
-        if lives:  # with its connections, and what was under way on them
+        if lives:  # its connections break, and messages under way on them are lost
             there = {m for m in net if m[:2] in (("set-up", place), ("end", place))}
             yield "host dies", (*state[:4], put(place, (False, 0, 0)), net - there, *state[6:])
         else:
@@ -115,7 +116,7 @@
             if not free:
                 assert charges <= 1, f"charged twice by {name}: {state}"
             for place, (lives, runs, _) in zip(HOSTS, hosts, strict=True):
-                # what a host may hold plays, is out, is owed an end, or nobody renews its lease
+                # what a host may hold plays, is being set up, has a pending termination, or is not renewed
                 wanted = runs == epoch and stage in (Stage.OUT, Stage.PLAYS)
                 assert not runs or wanted or not gateway or (place, runs) in owed, f"left there: {after}"
                 assert lives or not runs
@@ -162,7 +163,7 @@
 
 
 def test_a_refusal_of_what_may_have_run_is_told_as_a_failure():
-    """Whatever the module says: the outcome table has the last word on what is provably not run."""
+    """The outcome table, not the module, decides whether a session provably never ran."""
     book = new_book()
     sent = one(book.take(T0, ask(1, key="k")), b.SendSetUp)
     decide = book.acts._decide
@@ -189,4 +190,4 @@
     paid = book.take(T0 + 2 * S, b.Poll(1, polls[0].session, 9 * S, S))
     assert one(paid, b.Steer).server == polls[0].server and not only(paid, b.SendRenew)
     free = book.take(T0 + 2 * S, b.Poll(2, polls[1].session, 9 * S, S))
-    assert not only(free, b.Steer) and len(one(free, b.SendRenew).sessions) == 1  # the short lease
+    assert not only(free, b.Steer) and len(one(free, b.SendRenew).sessions) == 1  # shortens the lease
