--- a/benchmarks/book.py
+++ b/benchmarks/book.py
@@ -24,7 +24,7 @@
         now += 2000
         playing += [(each.server, each.session) for each in set_up(book, now, number)]
         if len(playing) > 300:
-            book.take(now, msg.SessionEnded(*playing.pop(0)))
+            book.handle(now, msg.SessionEnded(*playing.pop(0)))
     return (time.perf_counter() - begin) / count * 1e6
 
 
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -15,7 +15,7 @@
 from mintmast.http.client import HttpClient
 from mintmast.lab import drills
 from mintmast.lab.drills import frame
-from mintmast.peers import lines
+from mintmast.peers import transport
 
 
 def _answers(seed: int, mutate: str | None, stores: bool) -> list[float]:
@@ -44,20 +44,20 @@
 def _calls(hosts: int, gateways: int) -> dict[str, float]:
     """Give calls and bytes between gateways for each ask of a paid viewer, in memory."""
     counts = {"calls": 0, "bytes": 0}
-    call, answer = HttpClient.call, lines.PeerLines._answer
+    call, answer = HttpClient.call, transport.PeerTransport._decode_reply
 
     def counted(self: HttpClient, address: Any, method: str, target: str, *rest: Any, **more: Any) -> Any:
         under_way = call(self, address, method, target, *rest, **more)
-        if target == lines.PATH:
+        if target == transport.PATH:
             counts["calls"] += 1
             counts["bytes"] += len(under_way.data)
         return under_way
 
-    def told(self: lines.PeerLines, reply: Any, mac: str) -> Any:
+    def told(self: transport.PeerTransport, reply: Any, mac: str) -> Any:
         counts["bytes"] += len(getattr(reply, "body", b""))
         return answer(self, reply, mac)
 
-    HttpClient.call, lines.PeerLines._answer = counted, told  # type: ignore[method-assign]
+    HttpClient.call, transport.PeerTransport._decode_reply = counted, told  # type: ignore[method-assign]
     try:
         asks: list[int] = []
         audit = frame.audit
@@ -67,7 +67,7 @@
         )[1]
         drills.run("bad-day", 1, "memory", day=drills.DRILLS["bad-day"].day.sized(hosts, gateways))
     finally:
-        HttpClient.call, lines.PeerLines._answer = call, answer  # type: ignore[method-assign]
+        HttpClient.call, transport.PeerTransport._decode_reply = call, answer  # type: ignore[method-assign]
         frame.audit = audit
     return {name: round(count / asks[0], 1) for name, count in counts.items()}
 
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -20,7 +20,7 @@
 import click
 
 from mintmast.decisions.gateways import members
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.lab.crowd import Crowd
 
 # s between heartbeats or probes, as long as a failed probe in `members`, which probes on sooner after an
@@ -34,9 +34,9 @@
 
 def crowd(count: int, loss: float, pauses: bool, seconds: float, plain: bool) -> dict[str, Any]:
     """Play the real machine; `plain` takes out what was added to SWIM."""
-    kept = members.OBSERVERS, members.MOST_SLOW, members.STOOD_STILL
+    kept = members.MIN_OBSERVERS, members.MAX_HEALTH_PENALTY, members.PAUSE_THRESHOLD_US
     if plain:
-        members.OBSERVERS, members.MOST_SLOW, members.STOOD_STILL = 1, 0, 10**15
+        members.MIN_OBSERVERS, members.MAX_HEALTH_PENALTY, members.PAUSE_THRESHOLD_US = 1, 0, 10**15
     try:
         world = Crowd(count, 1, loss)
         world.run(15)
@@ -54,7 +54,7 @@
         began = time.process_time()
         world.run(seconds)
         cpu = time.process_time() - began
-        alarms = {(c.name, c.start, n) for _, n, c in world.changes if c.proof is Proof.CONFIRMED}
+        alarms = {(c.name, c.generation, n) for _, n, c in world.changes if c.liveness is Liveness.CONFIRMED}
         told = {
             "false alarms a gateway-hour": len(alarms) / count / (seconds / 3600),
             "messages/s": (sum(world.sent.values()) - sent) / count / seconds,
@@ -71,10 +71,12 @@
         for name in lost:
             world.vanish(name)
         world.run(30)
-        seen = [(t - at) / 1e6 for t, _, c in world.changes if c.name in lost and c.proof is Proof.CONFIRMED]
+        seen = [
+            (t - at) / 1e6 for t, _, c in world.changes if c.name in lost and c.liveness is Liveness.CONFIRMED
+        ]
         return told | times(seen)
     finally:
-        members.OBSERVERS, members.MOST_SLOW, members.STOOD_STILL = kept
+        members.MIN_OBSERVERS, members.MAX_HEALTH_PENALTY, members.PAUSE_THRESHOLD_US = kept
 
 
 def third(count: int) -> dict[str, float]:
@@ -85,10 +87,12 @@
     rest = world.names[len(lost) :]
     for name in lost:
         world.vanish(name)
-    gone = _until(world, lambda: all(world.view(n)[x] is Proof.CONFIRMED for n in rest for x in lost))
+    gone = _until(world, lambda: all(world.view(n)[x] is Liveness.CONFIRMED for n in rest for x in lost))
     for name in lost:
         world.start(name)
-    back = _until(world, lambda: all(p is Proof.HEARD for n in world.names for p in world.view(n).values()))
+    back = _until(
+        world, lambda: all(p is Liveness.HEARD for n in world.names for p in world.view(n).values())
+    )
     return {"a third lost, one view s": gone, "back, one view s": back}
 
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -27,15 +27,15 @@
 from mintmast.decisions.sessions.book import SessionBook
 from mintmast.gateway import Gateway
 from mintmast.hosts.protocol import LOAD, event, load_header
-from mintmast.http.client import ClientLimits, Fault, HttpClient, Reply
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
 from mintmast.lab.drills import FREE, Day, settings
 from mintmast.lab.stage import ACCESS, SESSION, Stage
-from mintmast.loop.real import SelectorLoop, settle_memory
+from mintmast.loop.real import SelectorLoop, tune_garbage_collector
 
 SECOND = 1_000_000
 WIDE = ServerLimits(connections=100_000, idle_time=600 * SECOND)
-TOLD = msg.Told((0.1, 0.1))
+TOLD = msg.HostStatus((0.1, 0.1))
 CONNECTIONS = 64  # viewers' connections kept busy at once
 
 
@@ -69,8 +69,8 @@
 
         def handle(exchange: Exchange) -> None:
             if exchange.path == "/v1/notes":
-                exchange.start(200, [("Content-Type", "text/event-stream")])
-                exchange.send(event("hello", process="1", age_ms=None, drains=False))
+                exchange.start_stream(200, [("Content-Type", "text/event-stream")])
+                exchange.send_chunk(event("hello", process="1", age_ms=None, drains=False))
                 lines.append(exchange)
             elif exchange.method == "PUT":
                 name = exchange.path.rpartition("/")[2]
@@ -81,11 +81,11 @@
 
         def over(name: str) -> None:
             for line in lines:
-                line.send(event("ended", session=name, why="played"))
+                line.send_chunk(event("ended", session=name, why="played"))
 
         def alive() -> None:
             for line in lines:
-                line.send(b": \n\n")
+                line.send_chunk(b": \n\n")
             loop.call_at(loop.now() + SECOND, alive)
 
         alive()
@@ -99,14 +99,14 @@
     """Relay two exchanges on the same loop and HTTP with no decision: ask a host, pass its answer on."""
     pin(0)
     loop = SelectorLoop(lambda text: print(text, file=sys.stderr))
-    client = HttpClient(loop, ClientLimits(idle_each=200))
+    client = HttpClient(loop, ClientLimits(idle_per_address=200))
     count = 0
 
     def handle(exchange: Exchange) -> None:
         nonlocal count
         count += 1
 
-        def done(reply: Reply | Fault) -> None:
+        def done(reply: Reply | CallFailure) -> None:
             exchange.respond(200 if isinstance(reply, Reply) else 502, [], BODY)
 
         address = "127.0.0.1", hosts[count % len(hosts)]
@@ -141,7 +141,7 @@
     gateway = Gateway(loop, parse(settings_of(hosts)))
     pipe.send(gateway.dash.server.port)
     if not profile:
-        settle_memory()
+        tune_garbage_collector()
         loop.turn()
         loop.longest_turn = 0
 
@@ -194,7 +194,7 @@
     Keys are numbers from `first` on. Gives answers a second, and their times in ms, sorted.
     """
     loop = SelectorLoop(lambda text: print(text, file=sys.stderr))
-    client = HttpClient(loop, ClientLimits(idle_each=CONNECTIONS, connect_time=2 * SECOND))
+    client = HttpClient(loop, ClientLimits(idle_per_address=CONNECTIONS, connect_time=2 * SECOND))
     taken: list[float] = []
     good = bad = 0
     begin = loop.now()
@@ -209,7 +209,7 @@
             ("Idempotency-Key", str(number)),
         ]
 
-        def done(reply: Reply | Fault) -> None:
+        def done(reply: Reply | CallFailure) -> None:
             nonlocal good, bad
             if isinstance(reply, Reply) and reply.status == 200:
                 good += 1
@@ -252,17 +252,17 @@
     config = parse(settings_of(list(range(9000, 9050))))
     book = SessionBook(config.settings, Controller(config.settings, 1).handle, 10 * SECOND)
     book.start(1)
-    book.take(1, msg.ListNews(api.ListKind.FULL, 1, config.entries))
+    book.handle(1, msg.ServerListUpdate(api.ListKind.FULL, 1, config.entries))
     return book
 
 
 def set_up(book: SessionBook, now: int, number: int) -> list[msg.SendSetUp]:
     """Let a viewer ask and his session start; give the set-ups sent."""
     key = f"north-tv/viewer-{number}/{FREE}/gate-{number % 12}/wish-{number}"
-    ask = msg.Ask(number, 1, 0, number % 12, number % 8, 4, 3, 3 * SECOND, key, 500 * SECOND)
-    sent = [each for each in book.take(now, ask) if isinstance(each, msg.SendSetUp)]
+    ask = msg.ViewerRequest(number, 1, 0, number % 12, number % 8, 4, 3, 3 * SECOND, key, 500 * SECOND)
+    sent = [each for each in book.handle(now, ask) if isinstance(each, msg.SendSetUp)]
     for command in sent:
-        book.take(now, msg.SetUpEnded(command.session, 0, Evidence.STARTED, TOLD))
+        book.handle(now, msg.SetUpEnded(command.session, 0, Evidence.STARTED, TOLD))
     return sent
 
 
--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -22,10 +22,10 @@
 
 from benchmarks.gateway import host, load, pin, settings_of, start, tokens_of
 from mintmast.config import parse
-from mintmast.decisions.gateways.records import Grant, Intent, Kept, Kind, Write
+from mintmast.decisions.gateways.records import Grant, Intent, StoredRecord, RecordKind, WriteRecords
 from mintmast.gateway import Gateway
 from mintmast.lab.drills import PAID
-from mintmast.loop.real import SelectorLoop, settle_memory
+from mintmast.loop.real import SelectorLoop, tune_garbage_collector
 from mintmast.store import Engine, StoreLine, line, open_store
 
 SECOND = 1_000_000
@@ -49,7 +49,7 @@
     conf["classes"][0]["seats"] = 0
     gateway = Gateway(loop, parse(conf), store=store)
     pipe.send(gateway.dash.server.port)
-    settle_memory()
+    tune_garbage_collector()
     loop.run()
 
 
@@ -80,22 +80,22 @@
         process.join()
     time.sleep(1.0)  # the writer ends by itself
     engine = Engine(paths["with"], "gateway")
-    rows = sum(row.kind == Kind.INTENT.value for row in engine.rows())
+    rows = sum(row.kind == RecordKind.INTENT.value for row in engine.rows())
     told["bytes_a_paid_session"] = round(engine.size()[0] / max(1, rows))
     engine.close()
     return told
 
 
-def _record(number: int) -> Kept:
+def _record(number: int) -> StoredRecord:
     if number % 3:
         grant = Grant("gw1/18bcfe56800", number, 10**15)
-        return Kept(Kind.GRANT.value, f"{number:032x}", msgspec.msgpack.encode(grant))
+        return StoredRecord(RecordKind.GRANT.value, f"{number:032x}", msgspec.msgpack.encode(grant))
     where = "10.0.0.1:9000", 5, 123_456_789, 2
     about = f"north-tv/viewer-{number}/paid-film/gate-1/wish", f"gw0-18bcfe56800-{number}", *where
     intent = Intent(
         10**15, *about, "paid-film", "north-tv", "gate-1", 3, 9, 0, 4, False, "gw0/1", number, True
     )
-    return Kept(Kind.INTENT.value, f"{number:032x}", msgspec.msgpack.encode(intent))
+    return StoredRecord(RecordKind.INTENT.value, f"{number:032x}", msgspec.msgpack.encode(intent))
 
 
 def _start_with(pipe: Any, path: str) -> None:
@@ -131,7 +131,7 @@
         engine = Engine(path, "gateway", wait=5.0)
         for first in range(0, records, 50_000):
             numbers = range(first, min(first + 50_000, records))
-            engine.write(Kept(_record(n).kind, f"{n:032x}", None) for n in numbers)
+            engine.write(StoredRecord(_record(n).kind, f"{n:032x}", None) for n in numbers)
         engine.close()
     loop = SelectorLoop()
     store = StoreLine(loop, open_store(path, "gateway", int(time.time() * 1000)))
@@ -142,7 +142,7 @@
     loop.longest_turn, first = 0, Path(path).stat().st_size
     for token in range(1, 21):
         asked[token] = time.perf_counter()
-        store.write(Write((_record(token),), token))
+        store.write(WriteRecords((_record(token),), token))
         loop.run(loop.now() + SECOND // 2)
     told = {"given_back_mb": round((first - store.size[0]) / 1e6)}
     told |= {"longest_turn_ms": loop.longest_turn / 1000, "write_then_ms_max": round(max(times) * 1000, 1)}
@@ -165,7 +165,7 @@
     store.attach(lambda end: times.append(time.perf_counter() - asked.pop(end.token)), lambda *a, **k: None)
     for token in range(1, 1001):
         asked[token] = time.perf_counter()
-        store.write(Write((_record(token),), token))
+        store.write(WriteRecords((_record(token),), token))
         loop.run(loop.now() + SECOND // 200)
     loop.run(loop.now() + SECOND // 5)
     store.close()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -39,9 +39,9 @@
     for kind in ("full", "one in a hundred"):
         data = json.dumps({"servers": rows}).encode()
         entries = timed(f"{kind}: read and check", read_servers, data, config["fleet"], SECOND, time.time())
-        changed = timed(f"{kind}: merge", merger.offer, SECOND, "file", entries)
-        news = msg.ListNews(ListKind.DELTA, 1, tuple(changed))
-        timed(f"{kind}: hand over", held.take, SECOND, news)
+        changed = timed(f"{kind}: merge", merger.update_source, SECOND, "file", entries)
+        news = msg.ServerListUpdate(ListKind.DELTA, 1, tuple(changed))
+        timed(f"{kind}: hand over", held.handle, SECOND, news)
         for row in rows[::100]:
             row["state"] = "draining"
     return times
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -20,14 +20,14 @@
 import lmdb
 import msgspec
 
-from mintmast.decisions.gateways.records import Grant, Kept, Kind, recover
+from mintmast.decisions.gateways.records import Grant, StoredRecord, RecordKind, recover_state
 from mintmast.store import Engine
 
 
-def record(number: int) -> Kept:
+def record(number: int) -> StoredRecord:
     """Give a record as a witness writes it."""
     grant = Grant("gw1/18bcfe56800", number, 10**13 + number)
-    return Kept(Kind.GRANT.value, f"{number:032x}", msgspec.msgpack.encode(grant))
+    return StoredRecord(RecordKind.GRANT.value, f"{number:032x}", msgspec.msgpack.encode(grant))
 
 
 class Sqlite:
@@ -37,11 +37,11 @@
         self.path = folder / "a.store"
         self.engine = Engine(str(self.path), "gw1")
 
-    def write(self, records: list[Kept]) -> None:
+    def write(self, records: list[StoredRecord]) -> None:
         """Make durable."""
         self.engine.write(records)
 
-    def read(self) -> list[Kept]:
+    def read(self) -> list[StoredRecord]:
         """Read all, as at a start."""
         self.engine.close()
         self.engine = Engine(str(self.path), "gw1")
@@ -55,19 +55,19 @@
         self.path = folder / "lmdb"
         self.env = lmdb.open(str(self.path), map_size=1 << 31)
 
-    def write(self, records: list[Kept]) -> None:
+    def write(self, records: list[StoredRecord]) -> None:
         """Make durable."""
         with self.env.begin(write=True) as batch:
             for each in records:
                 batch.put(f"{each.kind}/{each.key}".encode(), each.value or b"")
 
-    def read(self) -> list[Kept]:
+    def read(self) -> list[StoredRecord]:
         """Read all, as at a start."""
         self.env.close()
         self.env = lmdb.open(str(self.path), map_size=1 << 31)
         with self.env.begin() as look:
             rows = [(key.decode().partition("/"), value) for key, value in look.cursor()]
-        return [Kept(kind, key, value) for (kind, _, key), value in rows]
+        return [StoredRecord(kind, key, value) for (kind, _, key), value in rows]
 
 
 class Log:
@@ -77,7 +77,7 @@
         self.path = folder / "log"
         self.file = open(self.path, "ab")  # noqa: SIM115 - kept open over commits
 
-    def write(self, records: list[Kept]) -> None:
+    def write(self, records: list[StoredRecord]) -> None:
         """Make durable."""
         for each in records:
             data = msgspec.msgpack.encode((each.kind, each.key, each.value))
@@ -85,7 +85,7 @@
         self.file.flush()
         os.fsync(self.file.fileno())
 
-    def read(self) -> list[Kept]:
+    def read(self) -> list[StoredRecord]:
         """Read all, as at a start."""
         data, at, found = self.path.read_bytes(), 0, {}
         while at + 8 <= len(data):
@@ -94,7 +94,7 @@
             if zlib.crc32(body) != int.from_bytes(data[at + 4 : at + 8]):
                 break
             kind, key, value = msgspec.msgpack.decode(body)
-            found[kind, key] = Kept(kind, key, value)
+            found[kind, key] = StoredRecord(kind, key, value)
             at += 8 + length
         return list(found.values())
 
@@ -121,7 +121,7 @@
         rows = engine.read()
         told["read all s"] = time.perf_counter() - began
         began = time.perf_counter()
-        assert len(recover(rows).grants) == max(number, many)
+        assert len(recover_state(rows).grants) == max(number, many)
         told["recover s"] = time.perf_counter() - began
         size = sum(each.stat().st_blocks * 512 for each in Path(name).rglob("*") if each.is_file())
         told["bytes a record"] = size / max(number, many)
--- a/mintmast/cli/configuration.py
+++ b/mintmast/cli/configuration.py
@@ -9,7 +9,7 @@
 
 from mintmast.cli.operate import administrative
 from mintmast.config.shared import SharedError, read
-from mintmast.decisions.gateways.history import PATCH_BYTES
+from mintmast.decisions.gateways.history import MAX_PATCH_BYTES
 
 PATH = "/v1/configuration"
 
@@ -17,7 +17,7 @@
 def publish(file: str, admin: str, token: str) -> int:
     """Publish the patch in a file; 0 done, 1 not done, 2 bad use."""
     try:
-        patch = read(Path(file).read_bytes(), PATCH_BYTES)
+        patch = read(Path(file).read_bytes(), MAX_PATCH_BYTES)
     except (OSError, SharedError) as error:
         print(f"mintmast: {file}: {error}", file=sys.stderr)
         return 2
--- a/mintmast/cli/operate.py
+++ b/mintmast/cli/operate.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from mintmast.http.client import ClientLimits, Fault, HttpClient, Reply
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.loop.real import SelectorLoop
 
 SECOND = 1_000_000
@@ -21,9 +21,9 @@
         print(f"mintmast: --admin {admin}: HOST:PORT is needed", file=sys.stderr)
         return 2, None
     loop = SelectorLoop()
-    replies: list[Reply | Fault] = []
+    replies: list[Reply | CallFailure] = []
 
-    def done(reply: Reply | Fault) -> None:
+    def done(reply: Reply | CallFailure) -> None:
         replies.append(reply)
         loop.stop()
 
@@ -33,7 +33,7 @@
     client.call((host, int(port)), method, path, done, headers, data, loop.now() + 5 * SECOND)
     loop.run()
     reply = replies[0]
-    if isinstance(reply, Fault):
+    if isinstance(reply, CallFailure):
         print(f"mintmast: {admin}: {reply.value}", file=sys.stderr)
         return 1, None
     if reply.status != 200:
--- a/mintmast/cli/store.py
+++ b/mintmast/cli/store.py
@@ -9,19 +9,19 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.records import Grant, Intent, Kept, Kind, recover
+from mintmast.decisions.gateways.records import Grant, Intent, StoredRecord, RecordKind, recover_state
 from mintmast.store import Engine, StoreError
 
 
-def _read(row: Kept) -> Any:
+def _read(row: StoredRecord) -> Any:
     """Give a record's value as it is told to people."""
     if row.value is None:
         return None
-    if row.kind == Kind.GRANT.value:
+    if row.kind == RecordKind.GRANT.value:
         grant = msgspec.msgpack.decode(row.value, type=Grant)
         told = {"owner": grant.owner, "number": grant.number, "until_us": grant.until}
         return {**told, "released": grant.released}
-    if row.kind == Kind.INTENT.value:
+    if row.kind == RecordKind.INTENT.value:
         return msgspec.structs.asdict(msgspec.msgpack.decode(row.value, type=Intent))
     return msgspec.msgpack.decode(row.value)
 
@@ -46,9 +46,9 @@
 
 def _inspect(engine: Engine) -> int:
     rows = list(engine.rows())
-    found = recover(rows)
-    print(f"gateway {engine.gateway}; last start {found.life}; ran {found.ran / 3.6e9:.2f} hours")
-    print("a start may vote by it" if found.whole else "a start asks the others first")
+    found = recover_state(rows)
+    print(f"gateway {engine.gateway}; last start {found.generation}; ran {found.runtime / 3.6e9:.2f} hours")
+    print("a start may vote by it" if found.is_complete else "a start asks the others first")
     for kind, count in sorted(Counter(row.kind for row in rows).items()):
         print(f"{kind}: {count}")
     open_ = sum(not intent.over for intent, _ in found.intents.values())
@@ -57,7 +57,9 @@
 
 
 def _verify(engine: Engine) -> int:
-    faults = engine.verify() + [f"does not make sense: {each}" for each in recover(engine.rows()).faults]
+    faults = engine.verify() + [
+        f"does not make sense: {each}" for each in recover_state(engine.rows()).faults
+    ]
     print("\n".join(faults) or "whole")
     return 1 if faults else 0
 
--- a/mintmast/config/shared.py
+++ b/mintmast/config/shared.py
@@ -24,7 +24,7 @@
 from mintmast.config.fits import fits
 from mintmast.config.load import error_line
 from mintmast.config.schema import SCHEMA
-from mintmast.decisions.gateways.history import DOCUMENT_BYTES, PATCH_BYTES
+from mintmast.decisions.gateways.history import MAX_DOCUMENT_BYTES, MAX_PATCH_BYTES
 
 # levels of objects and lists in a patch: part, entry, field, and a key's lists; the top is the first
 MOST_DEPTH = 6
@@ -83,7 +83,7 @@
         """
         try:
             before = self._look(data)
-            change = read(patch, PATCH_BYTES)
+            change = read(patch, MAX_PATCH_BYTES)
             if not isinstance(change, dict):
                 return None, "the patch is not an object: it would replace everything"
             after = self._patched(before, change)
@@ -103,8 +103,8 @@
         for known in self._known:
             if known.data == data:
                 return known
-        if len(data) > DOCUMENT_BYTES:
-            raise SharedError(f"a document of {len(data)} bytes, {DOCUMENT_BYTES} are allowed")
+        if len(data) > MAX_DOCUMENT_BYTES:
+            raise SharedError(f"a document of {len(data)} bytes, {MAX_DOCUMENT_BYTES} are allowed")
         try:
             value = json.loads(data)
         except (ValueError, RecursionError) as error:
@@ -146,8 +146,8 @@
                     texts[part][name] = _text(name, after[part][name])
         known = _Known(b"", after, texts)
         known.data = _joined(known)
-        if len(known.data) > DOCUMENT_BYTES:
-            raise SharedError(f"a document of {len(known.data)} bytes, {DOCUMENT_BYTES} are allowed")
+        if len(known.data) > MAX_DOCUMENT_BYTES:
+            raise SharedError(f"a document of {len(known.data)} bytes, {MAX_DOCUMENT_BYTES} are allowed")
         return known
 
 
--- a/mintmast/configuring.py
+++ b/mintmast/configuring.py
@@ -21,35 +21,35 @@
 from mintmast.config.shared import Shared, SharedError, canonical, document, merge, read
 from mintmast.core import Core
 from mintmast.decide import Controller
-from mintmast.decisions.gateways.history import PATCH_BYTES, History
-from mintmast.decisions.gateways.revising import (
-    AskRevisions,
+from mintmast.decisions.gateways.history import MAX_PATCH_BYTES, History
+from mintmast.decisions.gateways.revision_types import (
+    PullRevisions,
     Command,
     Delta,
     Event,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
-    Ordered,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
+    OrderAnswered,
     Publish,
-    Say,
+    LogEvent,
     Stored,
     TakeOver,
-    Tick,
-    Wake,
+    TimerFired,
+    ScheduleTimer,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.rumours import Rumour
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.fronts.dash import DashFront
 from mintmast.fronts.tokens import TokenError
 from mintmast.http.server import Exchange
 from mintmast.loop import Loop
 from mintmast.loop.real import SelectorLoop
-from mintmast.peers import PeerLines, Roster, address_of
+from mintmast.peers import PeerTransport, MembershipTransport, parse_address
 from mintmast.sources.fixed import FixedList
 from mintmast.store.configuration import FileError, FileHere, FileLine, encoded, load
 
@@ -112,7 +112,7 @@
         say("configuration_file_refused", path=str(path), reason=str(error))
         stored = None
     if stored is None:  # what is like it in a later document is then known to be, and not built anew
-        stored, told = Stored(Head(0, 0, digest_of(own)), own), shared.value(own)
+        stored, told = Stored(RevisionId(0, 0, digest_of(own)), own), shared.value(own)
     fault = ""
     try:
         places.take_up(told)
@@ -145,14 +145,16 @@
         "term": head.term,
         "number": head.number,
         "digest": head.digest,
-        "settled": part.settled,
-        "publisher": bool(part.publisher.leads),
-        "highest_term": part.publisher.highest,
-        "refused": {"head": str(part.refused), "fault": part.fault} if part.fault else None,
+        "settled": part.is_settled,
+        "publisher": bool(part.publisher.term),
+        "highest_term": part.publisher.highest_term,
+        "refused": {"head": str(part.rejected), "fault": part.rejection_reason}
+        if part.rejection_reason
+        else None,
         "forks": part.forks,
         "dropped": dict(part.dropped),
-        "pulls": dict(part.pulls),
-        "history": {"revisions": len(part.history.deltas), "bytes": part.history.bytes},
+        "pulls": dict(part.pull_counts),
+        "history": {"revisions": len(part.history.deltas), "bytes": part.history.patch_bytes},
     }
 
 
@@ -168,13 +170,15 @@
         before = parts.config
         held = parts.core.book.sessions.by_number
         try:
-            config = places.take_up(self._shared.value(data), lambda: {e.ask.title for e in held.values()})
+            config = places.take_up(
+                self._shared.value(data), lambda: {e.request.title for e in held.values()}
+            )
             parts.dash.adopt(config, places.gone)
         except (ConfigError, SharedError, TokenError) as error:
             return str(error)
         parts.config = config
         parts.controller.settings = config.settings
-        parts.core.adopt(config.settings, catalogue_of(places))
+        parts.core.apply_settings(config.settings, catalogue_of(places))
         if config.entries != before.entries and isinstance(parts.list, FixedList):
             parts.list.change(config.entries)
         return ""
@@ -190,15 +194,15 @@
         gateway: str,
         begun: Begun,
         live: Live,
-        lines: PeerLines,
-        roster: Roster,
+        lines: PeerTransport,
+        roster: MembershipTransport,
         seed: int,
         say: Log,
     ) -> None:
         self._loop, self._gateway, self._live, self._say = loop, gateway, live, say
         self._lines, self._roster = lines, roster
         self._may_publish = told["publish"]
-        self._abroad = [address_of(each) for each in told["abroad"]]
+        self._abroad = [parse_address(each) for each in told["abroad"]]
         stored = begun.stored
         self.revisions = Revisions(
             stored,
@@ -219,28 +223,28 @@
         self._newest: tuple[int, int] = (0, 0)  # told by others
         self._behind: int | None = None
         self._carry: dict[type, Callable[[Any], Any]] = {
-            AskRevisions: self._ask,
-            Keep: self._keep,
-            InForce: self._in_force,
-            Ordered: self._ordered,
-            Say: lambda c: say("configuration", what=c.what, about=c.about),
-            Wake: lambda c: loop.call_at(c.at, self._take, Tick(c.at)),
+            PullRevisions: self._ask,
+            WriteRevision: self._keep,
+            ActiveRevision: self._in_force,
+            OrderAnswered: self._ordered,
+            LogEvent: lambda c: say("configuration", what=c.what, about=c.about),
+            ScheduleTimer: lambda c: loop.call_at(c.at, self._take, TimerFired(c.at)),
         }
-        roster.heads = self._heard
-        self._rumour = roster.members.rumour = Rumour(self.revisions.history.after)
-        lines.revisions = self.revisions.answer
+        roster.on_revision_announced = self._heard
+        self._rumour = roster.members.revision_gossip = RevisionGossip(self.revisions.history.deltas_after)
+        lines.answer_revisions = self.revisions.answer
         self._do(self.revisions.begin(loop.now()))
 
     # Revisions
 
     def _take(self, event: Event) -> None:
-        self._do(self.revisions.take(self._loop.now(), event))
+        self._do(self.revisions.handle(self._loop.now(), event))
 
     def _do(self, commands: list[Command]) -> None:
         for command in commands:
             self._carry[type(command)](command)
 
-    def _heard(self, event: HeadHeard) -> None:
+    def _heard(self, event: RevisionAnnounced) -> None:
         self._newest = max(self._newest, (event.term, event.number))
         self._see_behind()
         self._take(event)
@@ -251,33 +255,35 @@
         elif self._behind is None:
             self._behind = self._loop.now()
 
-    def _ask(self, command: AskRevisions) -> None:
+    def _ask(self, command: PullRevisions) -> None:
         source = command.source
         place = self._abroad[source] if isinstance(source, int) else source
-        self._lines.ask_revisions(place, command, self._take)
+        self._lines.request_revisions(place, command, self._take)
 
-    def _keep(self, command: Keep) -> None:
+    def _keep(self, command: WriteRevision) -> None:
         """Have it written: a document and its history, under 1.5 MB."""
         history = self._history
         history.extend(command.head, command.deltas)
-        stored = Stored(command.head, command.document, command.leads, history.base, tuple(history.deltas))
+        stored = Stored(
+            command.head, command.document, command.publisher_term, history.base, tuple(history.deltas)
+        )
         data = encoded(self._gateway, stored)
         self._file.write(data, lambda good: self._kept(command, good))
 
-    def _kept(self, command: Keep, good: bool) -> None:
+    def _kept(self, command: WriteRevision, good: bool) -> None:
         if good == self._unwritten:
             self._unwritten = not good
             self._say("configuration_written_again" if good else "configuration_unwritten")
         # what was published and may not be on disk is not in force: the history goes on from what is
-        if not good and command.leads:
+        if not good and command.publisher_term:
             self._history = History(Stored(self.revisions.head, b""))
-        self._take(Kept(command.number, good))
+        self._take(WriteFinished(command.number, good))
 
     # In force
 
-    def _in_force(self, command: InForce) -> None:
+    def _in_force(self, command: ActiveRevision) -> None:
         head = command.head
-        self._rumour.changed((head.term, head.number, head.mark))
+        self._rumour.set_head((head.term, head.number, head.digest_prefix))
         self._see_behind()
         self._wanted = command.document
         if not self._applying and self._wanted != self._applied:
@@ -309,32 +315,34 @@
         elif exchange.path == PATH + "/take-over" and exchange.method == "POST":
             self._order(exchange, TakeOver)
         else:
-            exchange.problem(405, f"GET and POST {PATH}, POST {PATH}/take-over")
+            exchange.respond_problem(405, f"GET and POST {PATH}, POST {PATH}/take-over")
 
     def _publish(self, exchange: Exchange) -> None:
         try:
-            patch = canonical(read(exchange.body, PATCH_BYTES))
+            patch = canonical(read(exchange.body, MAX_PATCH_BYTES))
         except SharedError as error:
-            exchange.problem(400, f"not a patch: {error}".encode("ascii", "backslashreplace").decode())
+            exchange.respond_problem(
+                400, f"not a patch: {error}".encode("ascii", "backslashreplace").decode()
+            )
             return
         self._order(exchange, lambda order: Publish(order, patch))
 
     def _order(self, exchange: Exchange, event: Callable[[int], Publish | TakeOver]) -> None:
         if not self._may_publish:
-            exchange.problem(409, "this gateway does not publish: configuration.publish is not set")
+            exchange.respond_problem(409, "this gateway does not publish: configuration.publish is not set")
             return
         self._count += 1
         self._orders[self._count] = exchange
         self._take(event(self._count))
 
-    def _ordered(self, command: Ordered) -> None:
+    def _ordered(self, command: OrderAnswered) -> None:
         exchange = self._orders.pop(command.order)
-        if command.good:
+        if command.is_accepted:
             head = command.head
             told = {"term": head.term, "number": head.number, "digest": head.digest}
             exchange.respond(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
         else:
-            exchange.problem(409, command.reason)
+            exchange.respond_problem(409, command.reason)
 
     def close(self) -> None:
         """Write no more."""
--- a/mintmast/decisions/calls/calls.py
+++ b/mintmast/decisions/calls/calls.py
@@ -12,167 +12,179 @@
 
 from mintmast import interface as api
 from mintmast.decide import Controller
-from mintmast.decisions.outcomes import TABLE as OUTCOMES
+from mintmast.decisions.outcomes import OUTCOME_TABLE as OUTCOMES
 from mintmast.decisions.outcomes import Evidence
 from mintmast.interface import NoteKind, Outcome
 
 
-class Stage(Enum):
+class CallState(Enum):
     """Where a call stands."""
 
-    ASKED = "asked"  # the module has it and nothing is out
-    OUT = "out"  # its attempt is out
-    STANDING = "standing"  # answered; it plays
-    ENDING = "ending"  # nobody waits any more, its attempt is still out
+    PENDING = "asked"  # the module has it and nothing is out
+    ATTEMPTING = "out"  # its attempt is out
+    ESTABLISHED = "standing"  # answered; it plays
+    CANCELLING = "ending"  # nobody waits any more, its attempt is still out
 
 
-class Seen(Enum):
+class CallEvent(Enum):
     """What is seen of a call."""
 
-    STARTED = "started"  # the host answered its attempt
-    ENDED = "ended"  # its attempt ended without an answer
-    LEFT = "left"  # its viewer gave it up, released it or is gone
-    OVER = "over"  # the session ended at its host, or with it
+    HOST_ANSWERED = "started"  # the host answered its attempt
+    ATTEMPT_ENDED = "ended"  # its attempt ended without an answer
+    VIEWER_LEFT = "left"  # its viewer gave it up, released it or is gone
+    SESSION_ENDED = "over"  # the session ended at its host, or with it
 
 
-class Owed(Enum):
+class OutgoingMessage(Enum):
     """A message that is owed."""
 
-    ANSWER = "answer to the viewer"
-    RELEASE = "release to the viewer"
-    CUT = "release to the host"
+    ANSWER_TO_VIEWER = "answer to the viewer"
+    RELEASE_TO_VIEWER = "release to the viewer"
+    RELEASE_TO_HOST = "release to the host"
 
 
-class Tell(Enum):
+class ControllerEvent(Enum):
     """The module's event."""
 
     PLAYING = "playing"
-    GONE = "viewer gone"
-    END = "attempt end"
-    CLOSED = "attempt end, nothing more owed"
+    VIEWER_GONE = "viewer gone"
+    ATTEMPT_ENDED = "attempt end"
+    ATTEMPT_COMPLETE = "attempt end, nothing more owed"
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class Transition:
     """A row of the table: where the call goes (None: forgotten), what the module hears, what is owed."""
 
-    to: Stage | None
-    tell: Tell
-    owed: tuple[Owed, ...] = ()
+    next_state: CallState | None
+    controller_event: ControllerEvent
+    messages: tuple[OutgoingMessage, ...] = ()
 
 
 # What is not in the table changes nothing: doubled, late and crossed messages.
-TABLE: dict[tuple[Stage, Seen], Step] = {
-    (Stage.OUT, Seen.STARTED): Step(Stage.STANDING, Tell.PLAYING, (Owed.ANSWER,)),
-    (Stage.OUT, Seen.ENDED): Step(Stage.ASKED, Tell.END),
-    (Stage.OUT, Seen.LEFT): Step(Stage.ENDING, Tell.GONE),
-    (Stage.ENDING, Seen.STARTED): Step(None, Tell.CLOSED, (Owed.CUT,)),
-    (Stage.ENDING, Seen.ENDED): Step(None, Tell.CLOSED),
-    (Stage.STANDING, Seen.LEFT): Step(None, Tell.CLOSED, (Owed.CUT,)),
-    (Stage.STANDING, Seen.OVER): Step(None, Tell.CLOSED, (Owed.RELEASE,)),
+TRANSITIONS: dict[tuple[CallState, CallEvent], Transition] = {
+    (CallState.ATTEMPTING, CallEvent.HOST_ANSWERED): Transition(
+        CallState.ESTABLISHED, ControllerEvent.PLAYING, (OutgoingMessage.ANSWER_TO_VIEWER,)
+    ),
+    (CallState.ATTEMPTING, CallEvent.ATTEMPT_ENDED): Transition(
+        CallState.PENDING, ControllerEvent.ATTEMPT_ENDED
+    ),
+    (CallState.ATTEMPTING, CallEvent.VIEWER_LEFT): Transition(
+        CallState.CANCELLING, ControllerEvent.VIEWER_GONE
+    ),
+    (CallState.CANCELLING, CallEvent.HOST_ANSWERED): Transition(
+        None, ControllerEvent.ATTEMPT_COMPLETE, (OutgoingMessage.RELEASE_TO_HOST,)
+    ),
+    (CallState.CANCELLING, CallEvent.ATTEMPT_ENDED): Transition(None, ControllerEvent.ATTEMPT_COMPLETE),
+    (CallState.ESTABLISHED, CallEvent.VIEWER_LEFT): Transition(
+        None, ControllerEvent.ATTEMPT_COMPLETE, (OutgoingMessage.RELEASE_TO_HOST,)
+    ),
+    (CallState.ESTABLISHED, CallEvent.SESSION_ENDED): Transition(
+        None, ControllerEvent.ATTEMPT_COMPLETE, (OutgoingMessage.RELEASE_TO_VIEWER,)
+    ),
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class ViewerRequest:
     """A set-up as a viewer asks for it; `passed` goes on to hosts unread."""
 
-    call: bytes
+    call_id: bytes
     service: int
     tenant: int
     title: int
     budget: int
-    home: int
+    home_cell: int
     copies: int
-    best: int
-    hint: int = 0
-    again: bool = False
+    best_rung: int
+    length_hint: int = 0
+    is_retry: bool = False
     moved: bool = False
-    passed: tuple[bytes, ...] = ()
+    forwarded: tuple[bytes, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class SendSetUp:
     """Ask `host` for the session; give it up at `until`. Its evidence comes back as `attempt`."""
 
-    call: bytes
+    call_id: bytes
     host: bytes
     attempt: int
     rung: int
-    until: int
-    passed: tuple[bytes, ...]
+    deadline: int
+    forwarded: tuple[bytes, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
+class CancelSetUp:
     """Give up the attempt that is out; no evidence of it is wanted."""
 
-    call: bytes
+    call_id: bytes
     host: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Cut:
+class ReleaseToHost:
     """End a session at its host."""
 
-    call: bytes
+    call_id: bytes
     host: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class TellRung:
+class SendRung:
     """Tell the host a new rung of a session that stands."""
 
-    call: bytes
+    call_id: bytes
     host: bytes
     rung: int
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class AnswerRequest:
     """Tell the viewer that the session stands, with the host's description."""
 
-    call: bytes
+    call_id: bytes
     viewer: int
     description: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class RefuseRequest:
     """Tell the viewer that it may come again, after `retry_after`."""
 
-    call: bytes
+    call_id: bytes
     viewer: int
     retry_after: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fail:
+class FailRequest:
     """Tell the viewer that the set-up failed."""
 
-    call: bytes
+    call_id: bytes
     viewer: int
 
 
 @dataclass(slots=True, frozen=True)
-class Release:
+class ReleaseToViewer:
     """Tell the viewer that the session is over; `whole` where it came to its end."""
 
-    call: bytes
+    call_id: bytes
     viewer: int
-    whole: bool
+    played_to_end: bool
 
 
 @dataclass(slots=True, frozen=True)
-class MoveAway:
+class MoveViewer:
     """Tell the viewer to come again."""
 
-    call: bytes
+    call_id: bytes
     viewer: int
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class ScheduleTimer:
     """Call `woken` with `token` after `delay`."""
 
     delay: int
@@ -180,13 +192,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class LogEvent:
     """A line for the operators."""
 
     text: str
 
 
-Command = SendSetUp | CallOff | Cut | TellRung | Answer | Refuse | Fail | Release | MoveAway | Wake | Say
+Command = (
+    SendSetUp
+    | CancelSetUp
+    | ReleaseToHost
+    | SendRung
+    | AnswerRequest
+    | RefuseRequest
+    | FailRequest
+    | ReleaseToViewer
+    | MoveViewer
+    | ScheduleTimer
+    | LogEvent
+)
 
 
 @dataclass(slots=True)
@@ -197,21 +221,21 @@
     number: int
     viewer: int
     deadline: int
-    asked: int
-    passed: tuple[bytes, ...] = ()
-    stage: Stage = Stage.ASKED
+    requested_at: int
+    forwarded: tuple[bytes, ...] = ()
+    state: CallState = CallState.PENDING
     host: bytes = b""
     attempt: int = -1
     rung: int = 0
-    sent: int = 0
-    since: int = 0
+    attempt_sent_at: int = 0
+    established_at: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class _Sight:
+class _Observation:
     """One thing seen, with what came along."""
 
-    seen: Seen
+    event: CallEvent
     outcome: Outcome = Outcome.SERVED
     load: tuple[float, ...] = ()
     description: bytes = b""
@@ -221,211 +245,257 @@
 class Calls:
     """All calls of a gateway and its module."""
 
-    module: Controller
+    controller: Controller
     by_id: dict[bytes, Call] = field(default_factory=dict)
     _by_number: dict[int, Call] = field(default_factory=dict)
-    _at: dict[bytes, dict[int, Call]] = field(default_factory=dict)
-    _numbers: int = 0
+    _by_host: dict[bytes, dict[int, Call]] = field(default_factory=dict)
+    _last_number: int = 0
     _out: list[Command] = field(default_factory=list)
 
     # What viewers do
 
-    def ask(self, now: int, wish: Wish, viewer: int, since: int | None = None) -> list[Command]:
+    def handle_request(
+        self, now: int, request: ViewerRequest, viewer: int, received_at: int | None = None
+    ) -> list[Command]:
         """Take a set-up under an id that is not in use; its budget counts from `since`, or from now."""
-        spent = now - since if since is not None else 0
-        call = self._new(now - spent, wish, viewer)
-        call.passed = wish.passed
-        request = api.SessionRequest(
+        elapsed = now - received_at if received_at is not None else 0
+        call = self._create(now - elapsed, request, viewer)
+        call.forwarded = request.forwarded
+        event = api.SessionRequest(
             call.number,
-            wish.service,
-            wish.tenant,
-            wish.title,
-            wish.budget - spent,
-            wish.home,
-            wish.copies,
-            wish.best,
-            wish.hint,
-            wish.moved,
-            wish.again,
+            request.service,
+            request.tenant,
+            request.title,
+            request.budget - elapsed,
+            request.home_cell,
+            request.copies,
+            request.best_rung,
+            request.length_hint,
+            request.moved,
+            request.is_retry,
         )
-        return self._feed(now, request)
+        return self._dispatch(now, event)
 
-    def found(self, now: int, wish: Wish, viewer: int, host: bytes) -> list[Command]:
+    def adopt_session(self, now: int, request: ViewerRequest, viewer: int, host: bytes) -> list[Command]:
         """Take a session that plays at `host` already."""
-        call = self._new(now, wish, viewer)
-        call.stage, call.host, call.attempt, call.since = Stage.STANDING, host, 0, now
-        self._at.setdefault(host, {})[call.number] = call
+        call = self._create(now, request, viewer)
+        call.state, call.host, call.attempt, call.established_at = CallState.ESTABLISHED, host, 0, now
+        self._by_host.setdefault(host, {})[call.number] = call
         event = api.SessionOpen(
-            call.number, wish.service, wish.tenant, wish.title, wish.best, host, wish.hint
+            call.number,
+            request.service,
+            request.tenant,
+            request.title,
+            request.best_rung,
+            host,
+            request.length_hint,
         )
-        return self._feed(now, event)
+        return self._dispatch(now, event)
 
-    def left(self, now: int, call_id: bytes) -> list[Command]:
+    def handle_viewer_left(self, now: int, call_id: bytes) -> list[Command]:
         """Take it that nobody waits for the call or watches the session any more."""
         call = self.by_id.get(call_id)
-        return self._take(now, call, _Sight(Seen.LEFT, Outcome.CANCELLED)) if call is not None else []
+        return (
+            self._apply(now, call, _Observation(CallEvent.VIEWER_LEFT, Outcome.CANCELLED))
+            if call is not None
+            else []
+        )
 
     # What hosts say, and what is seen of them
 
-    def started(self, now: int, call_id: bytes, host: bytes, description: bytes) -> list[Command]:
+    def handle_answer(self, now: int, call_id: bytes, host: bytes, description: bytes) -> list[Command]:
         """Take a host's answer."""
-        call = self._of(call_id, host)
-        return self._take(now, call, _Sight(Seen.STARTED, Outcome.CANCELLED, (), description)) if call else []
+        call = self._call_at(call_id, host)
+        return (
+            self._apply(now, call, _Observation(CallEvent.HOST_ANSWERED, Outcome.CANCELLED, (), description))
+            if call
+            else []
+        )
 
-    def ended(
+    def handle_attempt_end(
         self, now: int, call_id: bytes, host: bytes, evidence: Evidence, load: tuple[float, ...] = ()
     ) -> list[Command]:
         """Take what was seen at the end of an attempt that brought no session."""
-        call = self._of(call_id, host)
+        call = self._call_at(call_id, host)
         outcome = OUTCOMES[evidence].outcome
         if call is None or outcome is None:
             return []
-        return self._take(now, call, _Sight(Seen.ENDED, outcome, load))
+        return self._apply(now, call, _Observation(CallEvent.ATTEMPT_ENDED, outcome, load))
 
-    def over(
+    def handle_session_end(
         self, now: int, call_id: bytes, host: bytes, outcome: Outcome, load: tuple[float, ...] = ()
     ) -> list[Command]:
         """Take the end of a session at its host: SERVED at its end, RESET cut, CANCELLED by its viewer."""
-        call = self._of(call_id, host)
-        return self._take(now, call, _Sight(Seen.OVER, outcome, load)) if call is not None else []
+        call = self._call_at(call_id, host)
+        return (
+            self._apply(now, call, _Observation(CallEvent.SESSION_ENDED, outcome, load))
+            if call is not None
+            else []
+        )
 
-    def noted(self, now: int, call_id: bytes, host: bytes, kind: NoteKind, value: float) -> list[Command]:
+    def handle_note(
+        self, now: int, call_id: bytes, host: bytes, kind: NoteKind, value: float
+    ) -> list[Command]:
         """Take a note on a session that stands."""
-        call = self._of(call_id, host)
-        if call is None or call.stage is not Stage.STANDING:
+        call = self._call_at(call_id, host)
+        if call is None or call.state is not CallState.ESTABLISHED:
             return []
-        return self._feed(now, api.Note(call.number, host, kind, value))
+        return self._dispatch(now, api.Note(call.number, host, kind, value))
 
-    def host_dead(self, now: int, host: bytes, before: int | None = None) -> list[Command]:
+    def handle_host_death(self, now: int, host: bytes, before: int | None = None) -> list[Command]:
         """Take the end of a host's process: its sessions, or those older than `before`, are cut."""
         commands: list[Command] = []
-        for call in list(self._at.get(host, {}).values()):
-            if call.stage is Stage.STANDING and (before is None or call.since < before):
-                commands += self._take(now, call, _Sight(Seen.OVER, Outcome.RESET))
+        for call in list(self._by_host.get(host, {}).values()):
+            if call.state is CallState.ESTABLISHED and (before is None or call.established_at < before):
+                commands += self._apply(now, call, _Observation(CallEvent.SESSION_ENDED, Outcome.RESET))
         return commands
 
     # What else the module hears
 
     def start(self, now: int) -> list[Command]:
         """Tell the module that the gateway has come up."""
-        return self._feed(now, api.Started())
+        return self._dispatch(now, api.Started())
 
-    def list(self, now: int, news: api.ServerList) -> list[Command]:
+    def handle_list(self, now: int, update: api.ServerList) -> list[Command]:
         """Take news of the list of hosts."""
-        return self._feed(now, news)
+        return self._dispatch(now, update)
 
-    def woken(self, now: int, token: int) -> list[Command]:
+    def handle_timer(self, now: int, token: int) -> list[Command]:
         """Take the end of a timer."""
-        return self._feed(now, api.TimerFired(token))
+        return self._dispatch(now, api.TimerFired(token))
 
-    def standing_at(self, host: bytes) -> bool:
+    def has_session_at(self, host: bytes) -> bool:
         """Tell whether a session stands at the host."""
-        return any(call.stage is Stage.STANDING for call in self._at.get(host, {}).values())
+        return any(call.state is CallState.ESTABLISHED for call in self._by_host.get(host, {}).values())
 
-    def counts(self) -> dict[str, int]:
+    def count_by_state(self) -> dict[str, int]:
         """Count calls by stage."""
-        counts = {stage.value: 0 for stage in Stage}
+        counts = {stage.value: 0 for stage in CallState}
         for call in self.by_id.values():
-            counts[call.stage.value] += 1
+            counts[call.state.value] += 1
         return counts
 
     # The table at work
 
-    def _new(self, now: int, wish: Wish, viewer: int) -> Call:
-        if wish.call in self.by_id:
-            raise ValueError(f"call {wish.call.hex()} is in use")
-        self._numbers += 1
-        call = Call(wish.call, self._numbers, viewer, now + wish.budget, now)
+    def _create(self, now: int, request: ViewerRequest, viewer: int) -> Call:
+        if request.call_id in self.by_id:
+            raise ValueError(f"call {request.call_id.hex()} is in use")
+        self._last_number += 1
+        call = Call(request.call_id, self._last_number, viewer, now + request.budget, now)
         self.by_id[call.id] = self._by_number[call.number] = call
         return call
 
-    def _of(self, call_id: bytes, host: bytes) -> Call | None:
+    def _call_at(self, call_id: bytes, host: bytes) -> Call | None:
         """Give the call where its attempt or session is at `host`; what others say of it is late."""
         call = self.by_id.get(call_id)
         return call if call is not None and call.host == host else None
 
-    def _take(self, now: int, call: Call, sight: _Sight) -> list[Command]:
-        step = TABLE.get((call.stage, sight.seen))
-        if step is None:
+    def _apply(self, now: int, call: Call, observation: _Observation) -> list[Command]:
+        transition = TRANSITIONS.get((call.state, observation.event))
+        if transition is None:
             return []
-        owed: list[Command] = []
-        for each in step.owed:
-            if each is Owed.ANSWER:
-                owed.append(Answer(call.id, call.viewer, sight.description))
-            elif each is Owed.CUT:
-                owed.append(Cut(call.id, call.host))
-            elif sight.outcome is not Outcome.CANCELLED:  # ended by its viewer: nothing is owed
-                owed.append(Release(call.id, call.viewer, sight.outcome is Outcome.SERVED))
-        event = self._event(now, call, step.tell, sight)
-        call.stage = step.to or call.stage
-        if step.to is Stage.STANDING:
-            call.since, call.passed = now, ()
-        elif step.to is not Stage.ENDING:
-            self._off(call)
-        if step.to is None:
+        commands: list[Command] = []
+        for message in transition.messages:
+            if message is OutgoingMessage.ANSWER_TO_VIEWER:
+                commands.append(AnswerRequest(call.id, call.viewer, observation.description))
+            elif message is OutgoingMessage.RELEASE_TO_HOST:
+                commands.append(ReleaseToHost(call.id, call.host))
+            elif observation.outcome is not Outcome.CANCELLED:  # ended by its viewer: nothing is owed
+                commands.append(ReleaseToViewer(call.id, call.viewer, observation.outcome is Outcome.SERVED))
+        event = self._make_event(now, call, transition.controller_event, observation)
+        call.state = transition.next_state or call.state
+        if transition.next_state is CallState.ESTABLISHED:
+            call.established_at, call.forwarded = now, ()
+        elif transition.next_state is not CallState.CANCELLING:
+            self._detach_from_host(call)
+        if transition.next_state is None:
             self._forget(call)
-        return owed + self._feed(now, event)
-
-    def _event(self, now: int, call: Call, tell: Tell, sight: _Sight) -> api.Event:
-        took = now - call.sent
-        if tell is Tell.PLAYING:
-            return api.Playing(call.number, call.attempt, call.host, took)
-        if tell is Tell.GONE:
+        return commands + self._dispatch(now, event)
+
+    def _make_event(
+        self, now: int, call: Call, kind: ControllerEvent, observation: _Observation
+    ) -> api.Event:
+        elapsed = now - call.attempt_sent_at
+        if kind is ControllerEvent.PLAYING:
+            return api.Playing(call.number, call.attempt, call.host, elapsed)
+        if kind is ControllerEvent.VIEWER_GONE:
             return api.ViewerGone(call.number)
-        done = tell is Tell.CLOSED
-        return api.AttemptEnd(call.number, call.attempt, call.host, sight.outcome, took, done, sight.load)
+        is_complete = kind is ControllerEvent.ATTEMPT_COMPLETE
+        return api.AttemptEnd(
+            call.number, call.attempt, call.host, observation.outcome, elapsed, is_complete, observation.load
+        )
 
-    def _off(self, call: Call) -> None:
-        here = self._at.get(call.host)
-        if here is not None and here.pop(call.number, None) is not None and not here:
-            del self._at[call.host]
+    def _detach_from_host(self, call: Call) -> None:
+        calls_at_host = self._by_host.get(call.host)
+        if (
+            calls_at_host is not None
+            and calls_at_host.pop(call.number, None) is not None
+            and not calls_at_host
+        ):
+            del self._by_host[call.host]
 
     def _forget(self, call: Call) -> None:
-        self._off(call)
+        self._detach_from_host(call)
         self.by_id.pop(call.id, None)
         self._by_number.pop(call.number, None)
 
-    def _feed(self, now: int, event: api.Event) -> list[Command]:
+    def _dispatch(self, now: int, event: api.Event) -> list[Command]:
         """Hand an event to the module and turn its actions into commands."""
         commands: list[Command] = []
         events: deque[api.Event] = deque((event,))
         while events:
-            for action in self.module.handle(now, events.popleft()):
-                self._act(now, action, commands, events)
+            for action in self.controller.handle(now, events.popleft()):
+                self._execute_action(now, action, commands, events)
         return commands
 
-    def _act(self, now: int, action: api.Action, commands: list[Command], events: deque[api.Event]) -> None:
+    def _execute_action(
+        self, now: int, action: api.Action, commands: list[Command], events: deque[api.Event]
+    ) -> None:
         if isinstance(action, api.SetTimer):
-            commands.append(Wake(action.delay, action.token))
+            commands.append(ScheduleTimer(action.delay, action.token))
             return
         if isinstance(action, api.Log):
-            commands.append(Say(action.text))
+            commands.append(LogEvent(action.text))
             return
         call = self._by_number.get(getattr(action, "request", -1))
         if call is None:
             return
         if isinstance(action, api.SetRung):
             call.rung = action.rung
-            if call.stage is Stage.STANDING:
-                commands.append(TellRung(call.id, call.host, action.rung))
+            if call.state is CallState.ESTABLISHED:
+                commands.append(SendRung(call.id, call.host, action.rung))
         elif isinstance(action, api.SetUp):
-            call.stage, call.host, call.sent = Stage.OUT, action.server, now
+            call.state, call.host, call.attempt_sent_at = CallState.ATTEMPTING, action.server, now
             call.attempt += 1
-            self._at.setdefault(call.host, {})[call.number] = call
-            until = min(action.timeout_at or call.deadline, call.deadline)
-            commands.append(SendSetUp(call.id, call.host, call.attempt, call.rung, until, call.passed))
+            self._by_host.setdefault(call.host, {})[call.number] = call
+            deadline = min(action.timeout_at or call.deadline, call.deadline)
+            commands.append(SendSetUp(call.id, call.host, call.attempt, call.rung, deadline, call.forwarded))
         elif isinstance(action, api.Refuse):
             self._forget(call)
-            commands.append(Refuse(call.id, call.viewer, action.retry_after))
+            commands.append(RefuseRequest(call.id, call.viewer, action.retry_after))
         elif isinstance(action, api.Fail):
             self._forget(call)
-            commands.append(Fail(call.id, call.viewer))
+            commands.append(FailRequest(call.id, call.viewer))
         elif isinstance(action, api.Cancel):
-            if call.stage is Stage.ENDING and action.attempt == call.attempt:
-                commands.append(CallOff(call.id, call.host))
-                events.append(self._event(now, call, Tell.CLOSED, _Sight(Seen.LEFT, Outcome.CANCELLED)))
+            if call.state is CallState.CANCELLING and action.attempt == call.attempt:
+                commands.append(CancelSetUp(call.id, call.host))
+                events.append(
+                    self._make_event(
+                        now,
+                        call,
+                        ControllerEvent.ATTEMPT_COMPLETE,
+                        _Observation(CallEvent.VIEWER_LEFT, Outcome.CANCELLED),
+                    )
+                )
                 self._forget(call)
-        elif isinstance(action, api.Move) and call.stage is Stage.STANDING:
-            commands += (MoveAway(call.id, call.viewer), Cut(call.id, call.host))
-            events.append(self._event(now, call, Tell.CLOSED, _Sight(Seen.OVER, Outcome.CANCELLED)))
+        elif isinstance(action, api.Move) and call.state is CallState.ESTABLISHED:
+            commands += (MoveViewer(call.id, call.viewer), ReleaseToHost(call.id, call.host))
+            events.append(
+                self._make_event(
+                    now,
+                    call,
+                    ControllerEvent.ATTEMPT_COMPLETE,
+                    _Observation(CallEvent.SESSION_ENDED, Outcome.CANCELLED),
+                )
+            )
             self._forget(call)
--- a/mintmast/decisions/gateways/talk.py
+++ b/mintmast/decisions/gateways/claim_messages.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.member_status import Liveness
 
-Known = tuple[str, str, int, int]
+KnownClaim = tuple[str, str, int, int]
 
 
 class Vote(Enum):
@@ -34,19 +34,19 @@
     keys that both witness.
     """
 
-    call: int
+    call_id: int
     owner: str
     digest: str = ""
     number: int = 0
-    keep: int = 0
+    retention: int = 0
     release: bool = False
-    learn: str | None = None
-    aside: tuple[str, ...] | None = None
+    learn_after: str | None = None
+    excluded: tuple[str, ...] | None = None
     version: int = 0
-    to: int = 0
+    to_generation: int = 0
 
 
-class Voted(msgspec.Struct, frozen=True, gc=False):
+class VoteReceived(msgspec.Struct, frozen=True, gc=False):
     """A peer adapter: a witness's vote on the claim `number`, or that none came in time.
 
     `without` names witnesses with whose votes this one does not count together; `start` is the witness's, 0
@@ -56,11 +56,11 @@
     peer: str
     number: int
     vote: Vote
-    without: tuple[str, ...] = ()
-    start: int = 0
+    excluded: tuple[str, ...] = ()
+    generation: int = 0
 
 
-class Learnt(msgspec.Struct, frozen=True, gc=False):
+class LearnReply(msgspec.Struct, frozen=True, gc=False):
     """A peer adapter: the answer to question `number`.
 
     `more` says that there is more after the last record; `whole` is false where no answer came. `start` is
@@ -70,35 +70,35 @@
     """
 
     peer: str
-    records: tuple[Known, ...] = ()
+    records: tuple[KnownClaim, ...] = ()
     more: bool = False
-    whole: bool = True
+    answered: bool = True
     number: int = 0
-    start: int = 0
-    unready: tuple[str, ...] = ()
-    covered: tuple[str, ...] = ()
-    before: int = 0
+    generation: int = 0
+    not_voting_with: tuple[str, ...] = ()
+    vouched_for: tuple[str, ...] = ()
+    previous_generation: int = 0
 
 
-class AsideTold(msgspec.Struct, frozen=True, gc=False):
+class ExclusionsAcknowledged(msgspec.Struct, frozen=True, gc=False):
     """A peer adapter: another gateway has booked what is held aside, up to `version`; -1: no answer."""
 
     peer: str
     version: int = -1
 
 
-class PeerStands(msgspec.Struct, frozen=True, gc=False):
+class PeerStatusChanged(msgspec.Struct, frozen=True, gc=False):
     """Membership: how another gateway stands, and its start as known; 0 for none."""
 
     peer: str
-    proof: Proof
-    start: int
+    liveness: Liveness
+    generation: int
 
 
-class Condemned(msgspec.Struct, frozen=True, gc=False):
+class ProcessDisqualified(msgspec.Struct, frozen=True, gc=False):
     """Membership: this process must not act under its name any more."""
 
-    why: str
+    reason: str
 
 
 # Out
@@ -110,8 +110,8 @@
     peer: str
     digest: str
     number: int
-    keep: int
-    until: int
+    retention: int
+    deadline: int
 
 
 class SendRelease(msgspec.Struct, frozen=True, gc=False):
@@ -123,27 +123,27 @@
     peer: str
     digest: str
     number: int
-    until: int
+    deadline: int
     owner: str = ""
 
 
-class SendLearn(msgspec.Struct, frozen=True, gc=False):
+class SendLearnRequest(msgspec.Struct, frozen=True, gc=False):
     """To a peer adapter: ask what another gateway knows after this digest; `Learnt` by `until` (µs)."""
 
     peer: str
     after: str
     number: int
-    until: int
+    deadline: int
 
 
-class SendAside(msgspec.Struct, frozen=True, gc=False):
+class SendExclusions(msgspec.Struct, frozen=True, gc=False):
     """To a peer adapter: tell a gateway's process of start `to` who is held aside; `AsideTold` by `until`."""
 
     peer: str
-    to: int
-    names: tuple[str, ...]
+    to_generation: int
+    excluded: tuple[str, ...]
     version: int
-    until: int
+    deadline: int
 
 
 class PeerReply(msgspec.Struct, frozen=True, gc=False):
@@ -152,13 +152,13 @@
     Where it is not `good` the caller hears that there is no answer.
     """
 
-    call: int
+    call_id: int
     vote: Vote = Vote.NONE
-    records: tuple[Known, ...] = ()
+    records: tuple[KnownClaim, ...] = ()
     more: bool = False
-    without: tuple[str, ...] = ()
-    unready: tuple[str, ...] = ()
-    covered: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
+    not_voting_with: tuple[str, ...] = ()
+    vouched_for: tuple[str, ...] = ()
     version: int = -1
-    before: int = 0
-    good: bool = True
+    previous_generation: int = 0
+    answered: bool = True
--- a/mintmast/decisions/gateways/claims.py
+++ b/mintmast/decisions/gateways/claims.py
@@ -22,35 +22,35 @@
 from enum import Enum
 from itertools import combinations
 
-from mintmast.decisions.gateways.talk import Known, SendClaim, SendRelease, Vote, Voted
-from mintmast.decisions.gateways.witness import KEPT, LONGEST, Rendezvous, digest_of
-from mintmast.decisions.gateways.witnessing import CLAIM_TIME, Witnessing
-from mintmast.decisions.messages import Wake
+from mintmast.decisions.gateways.claim_messages import KnownClaim, SendClaim, SendRelease, Vote, VoteReceived
+from mintmast.decisions.gateways.witness import RECORD_RETENTION_US, MAX_SESSION_US, WitnessSelector, hash_key
+from mintmast.decisions.gateways.witness_service import CLAIM_TIMEOUT_US, WitnessService
+from mintmast.decisions.messages import ScheduleTimer
 
 SECOND = 1_000_000
 # µs between the tries of a claim whose votes were split, at the least; as much again by a hash, so that two
 # that met once do not meet again
-AGAIN = SECOND // 50
+SPLIT_RETRY_US = SECOND // 50
 # µs for a release: it is not tried again, as a key whose release one witness missed has two more
-RELEASE_TIME = 2 * SECOND
+RELEASE_TIMEOUT_US = 2 * SECOND
 # tries of a claim: three claimants that split the votes thrice in a row are no accident
-TRIES = 4
+MAX_CLAIM_ATTEMPTS = 4
 # why a claim was not decided where too few witnesses could be asked
-UNASKED = "the owners of this key cannot be asked"
+NO_QUORUM_REASON = "the owners of this key cannot be asked"
 
 
-class Stage(Enum):
+class ClaimState(Enum):
     """Where a claim stands."""
 
-    ASKING = "asking"
+    PENDING = "asking"
     OWNED = "owned"
     LOST = "lost"  # another claim may own the key
-    UNKNOWN = "unknown"  # too few witnesses voted
+    NO_QUORUM = "unknown"  # too few witnesses voted
     SPLIT = "split"  # nobody has a majority: asked again after a while
 
 
 @dataclass(slots=True, frozen=True)
-class Tally:
+class VoteTally:
     """Votes of one try."""
 
     granted: int = 0
@@ -58,21 +58,21 @@
     missing: int = 0  # no answer in time, or no vote
 
 
-def stage_of(tally: Tally, witnesses: int) -> Stage:
+def evaluate_votes(tally: VoteTally, witnesses: int) -> ClaimState:
     """Tell where a try stands by its votes; the order in which they came plays no part."""
     most = witnesses // 2 + 1
     if tally.granted >= most:
-        return Stage.OWNED
+        return ClaimState.OWNED
     if tally.denied >= most:
-        return Stage.LOST
+        return ClaimState.LOST
     if tally.granted + (witnesses - tally.granted - tally.denied - tally.missing) >= most:
-        return Stage.ASKING  # it may still come true
+        return ClaimState.PENDING  # it may still come true
     if tally.denied and tally.granted:
-        return Stage.SPLIT
-    return Stage.LOST if tally.denied else Stage.UNKNOWN
+        return ClaimState.SPLIT
+    return ClaimState.LOST if tally.denied else ClaimState.NO_QUORUM
 
 
-def together(granted: dict[str, tuple[str, ...]]) -> int:
+def count_compatible_votes(granted: dict[str, tuple[str, ...]]) -> int:
     """Count the most votes that may be counted together; each names those it is not combined with."""
     for size in range(len(granted), 0, -1):
         for group in combinations(sorted(granted), size):
@@ -85,15 +85,15 @@
 class _Claim:
     session: int
     digest: str
-    keep: int
-    until: int  # when it must be decided, so that time is left for the set-up
-    asked_at: int = 0
-    stage: Stage = Stage.ASKING
+    retention: int
+    deadline: int  # when it must be decided, so that time is left for the set-up
+    requested_at: int = 0
+    state: ClaimState = ClaimState.PENDING
     number: int = 0  # of the try that is under way, or owns
-    tries: int = 0
+    attempts: int = 0
     votes: dict[str, Vote | None] = field(default_factory=dict)
-    granted: dict[str, tuple[str, ...]] = field(default_factory=dict)  # whom each is not combined with
-    unasked: list[str] = field(default_factory=list)
+    exclusions: dict[str, tuple[str, ...]] = field(default_factory=dict)  # whom each is not combined with
+    deferred: list[str] = field(default_factory=list)
 
 
 class Claims:
@@ -106,136 +106,144 @@
     def __init__(
         self,
         gateway: str,
-        start: int,
+        generation: int,
         members: tuple[str, ...],
         emit: Callable[[object], None],
-        decided: Callable[[int, int, str], None],
+        on_decided: Callable[[int, int, str], None],
     ) -> None:
-        self._gateway, self._start = gateway, start
-        self._keys = Rendezvous(members)
-        self._owner = f"{gateway}/{start:x}"
-        self._emit, self._decided = emit, decided
-        self.part = Witnessing(gateway, start, self._keys, emit, self._own)
+        self._gateway, self._generation = gateway, generation
+        self._selector = WitnessSelector(members)
+        self._owner = f"{gateway}/{generation:x}"
+        self._emit, self._on_decided = emit, on_decided
+        self.witness_service = WitnessService(gateway, generation, self._selector, emit, self._list_owned)
         self._claims: dict[int, _Claim] = {}  # by session
         self._by_number: dict[int, _Claim] = {}
         # digest: owner (this life or one before), number, until when others may need to know
         self._owned: dict[str, tuple[str, int, int]] = {}
-        self._number = 0
+        self._last_number = 0
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Tell whether keys are claimed at all."""
-        return bool(self._keys.members)
+        return bool(self._selector.members)
 
     # As a claimant
 
-    def begin(self, now: int, session: int, key: str, length: int, until: int) -> None:
+    def claim_key(self, now: int, session: int, key: str, length: int, until: int) -> None:
         """Claim a key for a session, by `until`; `length` of the session in µs, 0 for not known."""
-        claim = _Claim(session, digest_of(key), (length or LONGEST) + KEPT, until)
+        claim = _Claim(session, hash_key(key), (length or MAX_SESSION_US) + RECORD_RETENTION_US, until)
         if self._owned.get(claim.digest, ("", 0, now))[2] > now:  # from a session that may have run
-            self._decided(now, session, "this key has been spent")
+            self._on_decided(now, session, "this key has been spent")
             return
-        if self.part.condemned:
-            self._decided(now, session, self.part.condemned)
+        if self.witness_service.disqualified_reason:
+            self._on_decided(now, session, self.witness_service.disqualified_reason)
             return
         self._claims[session] = claim
-        self._ask(now, claim)
+        self._request_votes(now, claim)
 
-    def pending(self, session: int) -> bool:
+    def is_pending(self, session: int) -> bool:
         """Tell whether a session's claim is not decided yet."""
         claim = self._claims.get(session)
-        return claim is not None and claim.stage is not Stage.OWNED
-
-    def _ask(self, now: int, claim: _Claim) -> None:
-        self._number += 1
-        claim.number, claim.stage, claim.asked_at = self._number, Stage.ASKING, now
-        claim.tries += 1
-        witnesses = self._keys.of(claim.digest)
-        claim.votes, claim.granted = dict.fromkeys(witnesses), {}
+        return claim is not None and claim.state is not ClaimState.OWNED
+
+    def _request_votes(self, now: int, claim: _Claim) -> None:
+        self._last_number += 1
+        claim.number, claim.state, claim.requested_at = self._last_number, ClaimState.PENDING, now
+        claim.attempts += 1
+        witnesses = self._selector.select(claim.digest)
+        claim.votes, claim.exclusions = dict.fromkeys(witnesses), {}
         self._by_number[claim.number] = claim
-        others = sorted((each for each in witnesses if each != self._gateway), key=self._first)
-        first = [each for each in others if not self.part.covers.others[each].out]
+        others = sorted((each for each in witnesses if each != self._gateway), key=self._is_not_preferred)
+        first = [each for each in others if not self.witness_service.exclusions.peers[each].unreachable]
         enough = len(first) + (self._gateway in witnesses) > len(witnesses) // 2
-        if not enough or claim.tries > 1:
+        if not enough or claim.attempts > 1:
             first = others
-        claim.unasked = [each for each in others if each not in first]
-        self._send(now, claim, first)
+        claim.deferred = [each for each in others if each not in first]
+        self._send_claims(now, claim, first)
         if self._gateway in claim.votes:
             number = claim.number
 
             def told(at: int, vote: Vote, without: tuple[str, ...]) -> None:
-                self.voted(at, Voted(self._gateway, number, vote, without))
+                self.handle_vote(at, VoteReceived(self._gateway, number, vote, without))
 
-            self.part.vote(now, claim.digest, self._owner, number, claim.keep, told)
+            self.witness_service.vote(now, claim.digest, self._owner, number, claim.retention, told)
 
-    def _first(self, name: str) -> bool:
-        return not self.part.covers.others[name].first
+    def _is_not_preferred(self, name: str) -> bool:
+        return not self.witness_service.exclusions.peers[name].is_preferred
 
-    def _send(self, now: int, claim: _Claim, witnesses: list[str]) -> None:
+    def _send_claims(self, now: int, claim: _Claim, witnesses: list[str]) -> None:
         for each in witnesses:
-            until = max(now, claim.asked_at + CLAIM_TIME)
-            self._emit(SendClaim(each, claim.digest, claim.number, claim.keep, until))
+            until = max(now, claim.requested_at + CLAIM_TIMEOUT_US)
+            self._emit(SendClaim(each, claim.digest, claim.number, claim.retention, until))
 
-    def voted(self, now: int, event: Voted) -> None:
+    def handle_vote(self, now: int, event: VoteReceived) -> None:
         """Take a witness's vote, or that there was none."""
         claim = self._by_number.get(event.number)
-        if claim is None or claim.number != event.number or claim.stage is not Stage.ASKING:
+        if claim is None or claim.number != event.number or claim.state is not ClaimState.PENDING:
             return
-        late = now - claim.asked_at > CLAIM_TIME  # also when this process stood still
+        late = now - claim.requested_at > CLAIM_TIMEOUT_US  # also when this process stood still
         # one process of a name has come after another: what the first says now, the second does not know
-        over = 0 < event.start < self.part.covers.start_of(event.peer)
-        self._count(now, claim, event.peer, Vote.NONE if late or over else event.vote, event.without)
+        over = 0 < event.generation < self.witness_service.exclusions.generation_of(event.peer)
+        self._record_vote(now, claim, event.peer, Vote.NONE if late or over else event.vote, event.excluded)
 
-    def _count(
+    def _record_vote(
         self, now: int, claim: _Claim, witness: str, told: Vote, without: tuple[str, ...] = ()
     ) -> None:
         claim.votes[witness] = told
         if told is Vote.GRANTED:
-            claim.granted[witness] = without
+            claim.exclusions[witness] = without
         cast = list(claim.votes.values())
-        granted = together(claim.granted)
-        missing = cast.count(Vote.NONE) + len(claim.granted) - granted
-        claim.stage = stage_of(Tally(granted, cast.count(Vote.HELD), missing), len(cast))
-        if claim.stage is Stage.ASKING:
-            if claim.unasked and cast.count(None) == len(claim.unasked):
-                rest, claim.unasked = claim.unasked, []
-                self._send(now, claim, rest)
+        granted = count_compatible_votes(claim.exclusions)
+        missing = cast.count(Vote.NONE) + len(claim.exclusions) - granted
+        claim.state = evaluate_votes(VoteTally(granted, cast.count(Vote.HELD), missing), len(cast))
+        if claim.state is ClaimState.PENDING:
+            if claim.deferred and cast.count(None) == len(claim.deferred):
+                rest, claim.deferred = claim.deferred, []
+                self._send_claims(now, claim, rest)
             return
-        if claim.stage is Stage.OWNED:
-            self._owned[claim.digest] = self._owner, claim.number, now + claim.keep
-            self._decided(now, claim.session, "")
+        if claim.state is ClaimState.OWNED:
+            self._owned[claim.digest] = self._owner, claim.number, now + claim.retention
+            self._on_decided(now, claim.session, "")
             return
-        self._give_up(now, claim)
-        again = now + (CLAIM_TIME if claim.stage is Stage.UNKNOWN else AGAIN + self._spread(claim))
-        if claim.stage is not Stage.LOST and claim.tries < TRIES and again < claim.until:
-            self._emit(Wake(again, ("claim", claim.session)))
+        self._abandon(now, claim)
+        again = now + (
+            CLAIM_TIMEOUT_US
+            if claim.state is ClaimState.NO_QUORUM
+            else SPLIT_RETRY_US + self._retry_jitter(claim)
+        )
+        if (
+            claim.state is not ClaimState.LOST
+            and claim.attempts < MAX_CLAIM_ATTEMPTS
+            and again < claim.deadline
+        ):
+            self._emit(ScheduleTimer(again, ("claim", claim.session)))
             return
         self._claims.pop(claim.session, None)
-        known = claim.stage is Stage.LOST
-        reason = "another gateway has this key" if known else UNASKED
-        self._decided(now, claim.session, reason)
+        known = claim.state is ClaimState.LOST
+        reason = "another gateway has this key" if known else NO_QUORUM_REASON
+        self._on_decided(now, claim.session, reason)
 
-    def _spread(self, claim: _Claim) -> int:
+    def _retry_jitter(self, claim: _Claim) -> int:
         drawn = hashlib.blake2b(f"{self._owner} {claim.number}".encode(), digest_size=4).digest()
-        return int.from_bytes(drawn, "big") % AGAIN
+        return int.from_bytes(drawn, "big") % SPLIT_RETRY_US
 
-    def again(self, now: int, session: int) -> None:
+    def retry(self, now: int, session: int) -> None:
         """Try once more, if the claim is still wanted."""
         claim = self._claims.get(session)
-        if claim is not None and claim.stage in (Stage.SPLIT, Stage.UNKNOWN):
-            self._ask(now, claim)
+        if claim is not None and claim.state in (ClaimState.SPLIT, ClaimState.NO_QUORUM):
+            self._request_votes(now, claim)
 
-    def settle(self, now: int, session: int, ran: bool) -> None:
+    def finish_session(self, now: int, session: int, ran: bool) -> None:
         """Take note that a session is over; where it provably never ran its key is free again."""
         claim = self._claims.pop(session, None)
         if claim is None:
             return
         if ran:
             self._by_number.pop(claim.number, None)
-        elif claim.stage in (Stage.ASKING, Stage.OWNED):
-            self._give_up(now, claim)
+        elif claim.state in (ClaimState.PENDING, ClaimState.OWNED):
+            self._abandon(now, claim)
 
-    def _give_up(self, now: int, claim: _Claim) -> None:
+    def _abandon(self, now: int, claim: _Claim) -> None:
         """Release a try at all its witnesses, those too that have not voted."""
         self._by_number.pop(claim.number, None)
         self._owned.pop(claim.digest, None)
@@ -244,31 +252,31 @@
     def _release(self, now: int, digest: str, owner: str, number: int, witnesses: Iterable[str]) -> None:
         for each in witnesses:
             if each == self._gateway:
-                self.part.release(now, digest, owner, number)
+                self.witness_service.release(now, digest, owner, number)
             else:
                 before = owner if owner != self._owner else ""
-                self._emit(SendRelease(each, digest, number, now + RELEASE_TIME, before))
+                self._emit(SendRelease(each, digest, number, now + RELEASE_TIMEOUT_US, before))
 
     # What earlier lives owned
 
-    def owned(self, session: int) -> tuple[str, int]:
+    def owning_claim(self, session: int) -> tuple[str, int]:
         """Give owner and number of the claim that a session's key is owned by; ("", 0) for none."""
         claim = self._claims.get(session)
-        owns = claim is not None and claim.stage is Stage.OWNED
+        owns = claim is not None and claim.state is ClaimState.OWNED
         return (self._owner, claim.number) if owns and claim is not None else ("", 0)
 
-    def restore(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
+    def restore_owned(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
         """Take it from the records that an earlier life owned a key, still to be kept for so many µs."""
-        if self.on and owner:
+        if self.enabled and owner:
             self._owned[digest] = owner, number, now + keep
 
-    def give_back(self, now: int, digest: str) -> None:
+    def release_restored(self, now: int, digest: str) -> None:
         """Release what an earlier life owned, as its session provably never ran."""
         owner, number, _ = self._owned.pop(digest, ("", 0, 0))
         if owner:
-            self._release(now, digest, owner, number, self._keys.of(digest))
+            self._release(now, digest, owner, number, self._selector.select(digest))
 
-    def _own(self, now: int) -> dict[str, Known]:
+    def _list_owned(self, now: int) -> dict[str, KnownClaim]:
         """Give the keys that this gateway owns."""
         for digest in [each for each, (*_, until) in self._owned.items() if until <= now]:
             del self._owned[digest]
--- a/mintmast/decisions/gateways/history.py
+++ b/mintmast/decisions/gateways/history.py
@@ -4,19 +4,27 @@
 
 from bisect import bisect_left
 
-from mintmast.decisions.gateways.revising import Check, Delta, Head, Question, Reply, Stored, digest_of
+from mintmast.decisions.gateways.revision_types import (
+    PatchValidator,
+    Delta,
+    RevisionId,
+    RevisionRequest,
+    RevisionReply,
+    Stored,
+    digest_of,
+)
 
 # bytes of a document and of a patch that are taken: what is shared by 3,400 gateways with room to spare, and
 # a change that a person or a tool writes in one piece
-DOCUMENT_BYTES, PATCH_BYTES = 1 << 20, 64 << 10
+MAX_DOCUMENT_BYTES, MAX_PATCH_BYTES = 1 << 20, 64 << 10
 # revisions kept to be told to others: four hours of 11,000 a day, so that a restart, a region's cut and a
 # long stop are told by deltas; in bytes a two-hundredth of a gateway's 64 MB for control
-HISTORY, HISTORY_BYTES = 2048, 320 << 10
+MAX_HISTORY_REVISIONS, MAX_HISTORY_BYTES = 2048, 320 << 10
 # revisions and bytes of patches in one reply: each is a check of a whole document, and they are one turn of
 # the loop
-REPLY_DELTAS, REPLY_BYTES = 16, 64 << 10
+MAX_REPLY_DELTAS, MAX_REPLY_BYTES = 16, 64 << 10
 # bytes of a revision beside its patch, in a word
-NAME_BYTES = 32
+REVISION_ID_BYTES = 32
 # bytes of a document's piece in one reply: base64 makes it 64 kB, a fifteenth of what a line takes
 PAGE_BYTES = 48 << 10
 
@@ -25,128 +33,131 @@
     """The last revisions of one gateway, without a gap, up to its head."""
 
     def __init__(self, stored: Stored) -> None:
-        self.base, self.deltas, self.bytes = stored.head, [], 0
+        self.base, self.deltas, self.patch_bytes = stored.head, [], 0
         self._keys: list[tuple[int, int]] = []
-        if stored.history and stored.history[-1].head == stored.head:
+        if stored.history and stored.history[-1].revision == stored.head:
             self.base = stored.base
             self._add(stored.history)
 
-    def extend(self, head: Head, deltas: tuple[Delta, ...]) -> None:
+    def extend(self, head: RevisionId, deltas: tuple[Delta, ...]) -> None:
         """Go on to a head; without deltas what was before it cannot be told any more."""
         if deltas:
             self._add(deltas)
         else:
-            self.base, self.deltas, self._keys, self.bytes = head, [], [], 0
+            self.base, self.deltas, self._keys, self.patch_bytes = head, [], [], 0
 
     def _add(self, deltas: tuple[Delta, ...]) -> None:
         self.deltas.extend(deltas)
-        self._keys.extend(each.head.key for each in deltas)
-        self.bytes += sum(len(each.patch) for each in deltas)
-        if len(self.deltas) <= HISTORY and self.bytes <= HISTORY_BYTES:
+        self._keys.extend(each.revision.key for each in deltas)
+        self.patch_bytes += sum(len(each.patch) for each in deltas)
+        if len(self.deltas) <= MAX_HISTORY_REVISIONS and self.patch_bytes <= MAX_HISTORY_BYTES:
             return
         # an eighth more than must be, so that this is not done at each revision
         cut = 0
-        while len(self.deltas) - cut > HISTORY * 7 // 8 or self.bytes > HISTORY_BYTES * 7 // 8:
-            self.bytes -= len(self.deltas[cut].patch)
+        while (
+            len(self.deltas) - cut > MAX_HISTORY_REVISIONS * 7 // 8
+            or self.patch_bytes > MAX_HISTORY_BYTES * 7 // 8
+        ):
+            self.patch_bytes -= len(self.deltas[cut].patch)
             cut += 1
-        self.base = self.deltas[cut - 1].head
+        self.base = self.deltas[cut - 1].revision
         del self.deltas[:cut], self._keys[:cut]
 
-    def answer(self, head: Head, document: bytes, question: Question) -> Reply | None:
+    def answer(self, head: RevisionId, document: bytes, request: RevisionRequest) -> RevisionReply | None:
         """Answer a question at this head; None for what is none.
 
         Deltas, where the asker's head is one of the history and they are fewer bytes than the document.
         """
-        since = Head(question.term, question.number, question.digest)
-        if not since.good or not 0 <= question.offset <= DOCUMENT_BYTES or len(question.of) > 16:
+        since = RevisionId(request.term, request.number, request.digest)
+        if not since.is_valid or not 0 <= request.offset <= MAX_DOCUMENT_BYTES or len(request.of) > 16:
             return None
-        at, fork = self._place(since)
+        at, fork = self._find(since)
         if since.key >= head.key:
-            return Reply(head, fork=fork)
-        if at is not None and not question.whole and self._short(at, len(document)):
+            return RevisionReply(head, fork=fork)
+        if at is not None and not request.whole and self._deltas_suffice(at, len(document)):
             deltas, size = [], 0
-            for delta in self.deltas[at : at + REPLY_DELTAS]:
+            for delta in self.deltas[at : at + MAX_REPLY_DELTAS]:
                 size += len(delta.patch)
-                if deltas and size > REPLY_BYTES:
+                if deltas and size > MAX_REPLY_BYTES:
                     break
                 deltas.append(delta)
-            return Reply(head, tuple(deltas))
-        offset = question.offset if question.of == head.digest else 0
+            return RevisionReply(head, tuple(deltas))
+        offset = request.offset if request.of == head.digest else 0
         page = document[offset : offset + PAGE_BYTES]
-        return Reply(head, (), page, offset, len(document), fork)
+        return RevisionReply(head, (), page, offset, len(document), fork)
 
-    def after(self, told: tuple[int, int, int], room: int) -> tuple[Delta, ...]:
+    def deltas_after(self, summary: tuple[int, int, int], max_bytes: int) -> tuple[Delta, ...]:
         """Give the first revisions after a head, told as words tell it, that take up to so many bytes.
 
         None where the history does not have that head, or another one under its number.
         """
-        found = self._at(told[:2])
-        if found is None or found[1].mark != told[2]:
+        found = self._position_of(summary[:2])
+        if found is None or found[1].digest_prefix != summary[2]:
             return ()
         at, given, size = found[0], [], 0
-        for delta in self.deltas[at : at + REPLY_DELTAS]:
-            size += len(delta.patch) + NAME_BYTES
-            if size > room:
+        for delta in self.deltas[at : at + MAX_REPLY_DELTAS]:
+            size += len(delta.patch) + REVISION_ID_BYTES
+            if size > max_bytes:
                 break
             given.append(delta)
         return tuple(given)
 
-    def _short(self, at: int, size: int) -> bool:
+    def _deltas_suffice(self, at: int, size: int) -> bool:
         """Tell whether deltas are fewer bytes than a document of this size, or one reply at all."""
         left = self.deltas[at:]
-        return len(left) <= REPLY_DELTAS or sum(len(each.patch) for each in left) <= size
+        return len(left) <= MAX_REPLY_DELTAS or sum(len(each.patch) for each in left) <= size
 
-    def _place(self, since: Head) -> tuple[int | None, bool]:
+    def _find(self, since: RevisionId) -> tuple[int | None, bool]:
         """Give where the history goes on after a head, and whether it has another one under its number."""
-        found = self._at(since.key)
+        found = self._position_of(since.key)
         if found is None:
             return None, False
         at, head = found
         return (at, False) if head.digest == since.digest else (None, True)
 
-    def _at(self, key: tuple[int, int]) -> tuple[int, Head] | None:
+    def _position_of(self, key: tuple[int, int]) -> tuple[int, RevisionId] | None:
         """Give where the history goes on after a number, and its head there; None where it has none."""
         if key == self.base.key:
             return 0, self.base
         at = bisect_left(self._keys, key)
         if at == len(self._keys) or self._keys[at] != key:
             return None
-        return at + 1, self.deltas[at].head
+        return at + 1, self.deltas[at].revision
 
 
-def checked(check: Check, document: bytes, patch: bytes) -> tuple[bytes | None, str]:
+def validate_patch(check: PatchValidator, document: bytes, patch: bytes) -> tuple[bytes | None, str]:
     """Check a patch on a document: the document after it, or None and why.
 
     Danger: a check that raises on one odd input would end the processes of all gateways at once.
     """
-    if len(patch) > PATCH_BYTES:
-        return None, f"a patch of over {PATCH_BYTES} bytes"
+    if len(patch) > MAX_PATCH_BYTES:
+        return None, f"a patch of over {MAX_PATCH_BYTES} bytes"
     try:
         after, why = check(document, patch)
     except (ValueError, TypeError, LookupError, ArithmeticError, RecursionError) as error:
         return None, f"the check failed: {error}"[:300]
-    if after is not None and len(after) > DOCUMENT_BYTES:
-        return None, f"a document of over {DOCUMENT_BYTES} bytes"
+    if after is not None and len(after) > MAX_DOCUMENT_BYTES:
+        return None, f"a document of over {MAX_DOCUMENT_BYTES} bytes"
     return after, why
 
 
-def chain(
-    check: Check, head: Head, document: bytes, reply: Reply
-) -> tuple[Head, bytes, tuple[Delta, ...], str, str]:
+def apply_deltas(
+    check: PatchValidator, head: RevisionId, document: bytes, reply: RevisionReply
+) -> tuple[RevisionId, bytes, tuple[Delta, ...], str, str]:
     """Take a reply's deltas one after the other, up to the first that is not good.
 
     Gives head and document after those that are, and of the first other one what it is ("bad reply",
     "refused", "bad digest", "" for none) and why it was refused.
     """
-    good: list[Delta] = []
-    for delta in reply.deltas[:REPLY_DELTAS]:
-        if not delta.head.good or not head.key < delta.head.key <= reply.head.key:
-            return head, document, tuple(good), "bad reply", ""
-        after, why = checked(check, document, delta.patch)
+    applied: list[Delta] = []
+    for delta in reply.deltas[:MAX_REPLY_DELTAS]:
+        if not delta.revision.is_valid or not head.key < delta.revision.key <= reply.head.key:
+            return head, document, tuple(applied), "bad reply", ""
+        after, why = validate_patch(check, document, delta.patch)
         if after is None:
-            return head, document, tuple(good), "refused", why
-        if digest_of(after) != delta.head.digest:
-            return head, document, tuple(good), "bad digest", ""
-        head, document = delta.head, after
-        good.append(delta)
-    return head, document, tuple(good), "", ""
+            return head, document, tuple(applied), "refused", why
+        if digest_of(after) != delta.revision.digest:
+            return head, document, tuple(applied), "bad digest", ""
+        head, document = delta.revision, after
+        applied.append(delta)
+    return head, document, tuple(applied), "", ""
--- a/mintmast/decisions/gateways/standing.py
+++ b/mintmast/decisions/gateways/member_status.py
@@ -15,7 +15,7 @@
 from enum import Enum, IntEnum
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """Graver states have higher numbers."""
 
     ALIVE = 0  # said by the gateway itself, and by nobody else
@@ -26,35 +26,37 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Standing:
+class MemberStatus:
     """One gateway as it is told of. `start` is its process's number, 0 where none was heard of."""
 
-    start: int = 0
+    generation: int = 0
     incarnation: int = 0
-    state: State = State.UNREACHABLE
+    state: MemberState = MemberState.UNREACHABLE
 
 
-def merge(one: Standing, other: Standing) -> Standing:
+def merge_status(first: MemberStatus, second: MemberStatus) -> MemberStatus:
     """Give what counts of two words; the order in which they came plays no part."""
-    return max(one, other)
+    return max(first, second)
 
 
-def refuted(own: Standing, told: Standing) -> Standing:
+def refute(own: MemberStatus, claimed: MemberStatus) -> MemberStatus:
     """Let a gateway answer what is said of its own start: it lives, under the next incarnation."""
-    if told.start != own.start or told <= own:
+    if claimed.generation != own.generation or claimed <= own:
         return own
-    return Standing(own.start, told.incarnation + (told.state is not State.ALIVE), State.ALIVE)
+    return MemberStatus(
+        own.generation, claimed.incarnation + (claimed.state is not MemberState.ALIVE), MemberState.ALIVE
+    )
 
 
-def refused(held: Standing, start: int) -> Standing:
+def apply_refusal(known: MemberStatus, generation: int) -> MemberStatus:
     """Take it that the machine took no connection when `start` was the last one known there.
 
     Danger: the refusal may come late, when the next process of the name answers already.
     """
-    return replace(held, state=State.DEAD) if start == held.start else held
+    return replace(known, state=MemberState.DEAD) if generation == known.generation else known
 
 
-class Proof(Enum):
+class Liveness(Enum):
     """What a conclusion rests on."""
 
     HEARD = "it answers"
@@ -68,36 +70,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Conclusion:
+class MemberPolicy:
     """What may be done about a gateway, each column on its safe side."""
 
-    asked_first: bool  # claims and questions go to it before others
+    is_preferred: bool  # claims and questions go to it before others
     may_vote: bool  # a vote of its may still come true
-    may_own: bool  # keys that it owned may be in use: they are not given to others
-    may_spend: bool  # it counts among those who spend what all share: budgets, cold pace
-    relied_on: bool  # it counts among those who carry load
-    gone: bool  # its process is over: what only it remembered is lost, and it will not act on it
+    may_own_keys: bool  # keys that it owned may be in use: they are not given to others
+    may_spend_budget: bool  # it counts among those who spend what all share: budgets, cold pace
+    counts_as_capacity: bool  # it counts among those who carry load
+    process_ended: bool  # its process is over: what only it remembered is lost, and it will not act on it
     reason: str
 
 
-CONCLUSIONS: dict[Proof, Conclusion] = {
-    Proof.HEARD: Conclusion(True, True, True, True, True, False, "it says so itself"),
-    Proof.SILENT: Conclusion(
+MEMBER_POLICIES: dict[Liveness, MemberPolicy] = {
+    Liveness.HEARD: MemberPolicy(True, True, True, True, True, False, "it says so itself"),
+    Liveness.SILENT: MemberPolicy(
         False, True, True, True, True, False, "a lost message or a pause is likelier than an end"
     ),
-    Proof.CONFIRMED: Conclusion(
+    Liveness.CONFIRMED: MemberPolicy(
         False, True, True, True, False, False, "a cut path looks the same from here; beyond it it serves"
     ),
-    Proof.NEVER_HEARD: Conclusion(
+    Liveness.NEVER_HEARD: MemberPolicy(
         False, True, True, True, False, False, "this gateway is the new one and knows nothing"
     ),
-    Proof.LEFT: Conclusion(
+    Liveness.LEFT: MemberPolicy(
         False, False, True, False, False, False, "it takes nothing new; what it holds plays to its end"
     ),
-    Proof.REFUSED: Conclusion(
+    Liveness.REFUSED: MemberPolicy(
         False, False, False, False, False, True, "the machine runs and has no such process"
     ),
-    Proof.LATER_START: Conclusion(
+    Liveness.LATER_START: MemberPolicy(
         False,
         False,
         False,
@@ -106,7 +108,7 @@
         True,
         "one address has one process; the new one has no memory of it",
     ),
-    Proof.ORDER: Conclusion(
+    Liveness.ORDER: MemberPolicy(
         False,
         False,
         False,
@@ -118,11 +120,13 @@
 }
 
 
-def live_counts(proofs: list[Proof]) -> tuple[int, int]:
+def count_live(liveness: list[Liveness]) -> tuple[int, int]:
     """Count, this gateway included, those who may spend what all share and those who can be relied on.
 
     Danger: a cut halves the count on both sides; were shares made of the lower one, both halves together
     would spend twice what there is.
     """
-    told = [CONCLUSIONS[proof] for proof in proofs]
-    return 1 + sum(each.may_spend for each in told), 1 + sum(each.relied_on for each in told)
+    policies = [MEMBER_POLICIES[proof] for proof in liveness]
+    return 1 + sum(each.may_spend_budget for each in policies), 1 + sum(
+        each.counts_as_capacity for each in policies
+    )
--- a/mintmast/decisions/gateways/rumours.py
+++ b/mintmast/decisions/gateways/revision_gossip.py
@@ -13,51 +13,54 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.gateways.revising import Delta
+from mintmast.decisions.gateways.revision_types import Delta
 
-Told = tuple[int, int, int]  # term, number and mark of a head, as `words.HeadedWord` has them
+RevisionSummary = tuple[int, int, int]  # term, number and mark of a head, as `words.HeadedWord` has them
 
 # probes that tell a head after it has changed: three doublings of those who know, within a second where
 # probes go fast; and µs after which any probe does, which where they go slowly are all
-FRESH, AGAIN_TOLD = 6, 450_000
+ANNOUNCEMENTS, REANNOUNCE_US = 6, 450_000
 # µs after which a gateway is sent the same revisions again: they were lost, or refused there, and then a word
 # each time would be too much
-AGAIN = 1_000_000
+RESEND_US = 1_000_000
 # bytes of revisions in one word, patches and names: what a datagram of 1,200 has room for beside names of 64
-ROOM = 700
+MAX_DELTA_BYTES = 700
 
 
-class Rumour:
+class RevisionGossip:
     """One gateway's part. `after` gives the revisions after a head, at most so many bytes of them."""
 
-    def __init__(self, after: Callable[[Told, int], tuple[Delta, ...]]) -> None:
-        self.head: Told | None = None
-        self._after = after
-        self._fresh = self._next = 0
-        self._brought: dict[str, int] = {}  # to whom what is missing was sent since the last change, and when
+    def __init__(self, deltas_after: Callable[[RevisionSummary, int], tuple[Delta, ...]]) -> None:
+        self.head: RevisionSummary | None = None
+        self._deltas_after = deltas_after
+        self._announcements_left = self._next_announcement_at = 0
+        self._sent_at: dict[str, int] = {}  # to whom what is missing was sent since the last change, and when
 
-    def changed(self, head: Told) -> None:
+    def set_head(self, head: RevisionSummary) -> None:
         """Take what is in force now."""
         if head != self.head:
-            self.head, self._fresh = head, FRESH
-            self._brought.clear()
+            self.head, self._announcements_left = head, ANNOUNCEMENTS
+            self._sent_at.clear()
 
-    def first(self, now: int) -> bool:
+    def should_announce(self, now: int) -> bool:
         """Tell whether a probe that goes now tells the head."""
-        if not self._fresh and now < self._next:
+        if not self._announcements_left and now < self._next_announcement_at:
             return False
-        self._fresh, self._next = max(0, self._fresh - 1), now + AGAIN_TOLD
+        self._announcements_left, self._next_announcement_at = (
+            max(0, self._announcements_left - 1),
+            now + REANNOUNCE_US,
+        )
         return True
 
-    def owes(self, now: int, to: str, told: Told | None) -> bool:
+    def should_send_deltas(self, now: int, to: str, summary: RevisionSummary | None) -> bool:
         """Tell whether a gateway that told this is behind, and was not sent what it lacks just now."""
-        if told is None or self.head is None or told[:2] >= self.head[:2]:
+        if summary is None or self.head is None or summary[:2] >= self.head[:2]:
             return False
-        return now - self._brought.get(to, now - AGAIN) >= AGAIN
+        return now - self._sent_at.get(to, now - RESEND_US) >= RESEND_US
 
-    def bring(self, now: int, to: str, told: Told) -> tuple[Delta, ...]:
+    def deltas_for(self, now: int, to: str, summary: RevisionSummary) -> tuple[Delta, ...]:
         """Give what a gateway lacks that told this, as far as a word has room for it."""
-        if not self.owes(now, to, told):
+        if not self.should_send_deltas(now, to, summary):
             return ()
-        self._brought[to] = now
-        return self._after(told, ROOM)
+        self._sent_at[to] = now
+        return self._deltas_after(summary, MAX_DELTA_BYTES)
--- a/mintmast/decisions/gateways/revising.py
+++ b/mintmast/decisions/gateways/revision_types.py
@@ -14,17 +14,17 @@
 
 # the highest term and number that are taken; beyond is a broken sender's. 11,000 changes a day reach it in
 # a hundred million years, and one term a second in a hundred thousand
-MOST = (1 << 42) - 1
+MAX_NUMBER = (1 << 42) - 1
 # the patch that changes nothing: a take-over's, and with it the check tells whether a whole document is good
-NOTHING = b"{}"
+EMPTY_PATCH = b"{}"
 
 # (document, patch) -> the document after it, "", or None and the fault. Pure: the same bytes in give the same
 # out at every gateway of one program version. The whole document after the patch is checked, so that
 # check(document, NOTHING) gives a good canonical document back unchanged, byte by byte.
-Check = Callable[[bytes, bytes], tuple[bytes | None, str]]
+PatchValidator = Callable[[bytes, bytes], tuple[bytes | None, str]]
 
 # where a question goes: a gateway of the region by its name, or place in `configuration.abroad`
-Source = str | int
+PullSource = str | int
 
 
 def digest_of(document: bytes) -> str:
@@ -32,7 +32,7 @@
     return hashlib.blake2b(document, digest_size=8).hexdigest()
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class RevisionId(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A revision's name. Order is (term, number); (0, 0) is what the settings say before any revision."""
 
     term: int = 0
@@ -45,15 +45,15 @@
         return self.term, self.number
 
     @property
-    def mark(self) -> int:
+    def digest_prefix(self) -> int:
         """Give the first four bytes of the digest, as words carry them."""
         return int(self.digest[:8] or "0", 16)
 
     @property
-    def good(self) -> bool:
+    def is_valid(self) -> bool:
         """Tell whether it can be a head at all."""
         digits = len(self.digest) == 16 and set(self.digest) <= set("0123456789abcdef")
-        return digits and 0 <= self.term <= MOST and 0 <= self.number <= MOST
+        return digits and 0 <= self.term <= MAX_NUMBER and 0 <= self.number <= MAX_NUMBER
 
     def __str__(self) -> str:
         """Give it as operators read it."""
@@ -63,7 +63,7 @@
 class Delta(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A revision with its patch, which is for the document of the revision before it."""
 
-    head: Head
+    revision: RevisionId
     patch: bytes
 
 
@@ -74,17 +74,17 @@
     of them after `base`; both may be left out (the history then begins at `head`).
     """
 
-    head: Head
+    head: RevisionId
     document: bytes
     leads: int = 0
-    base: Head = Head()
+    base: RevisionId = RevisionId()
     history: tuple[Delta, ...] = ()
 
 
 # Between gateways
 
 
-class Question(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
+class RevisionRequest(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
     """Ask for what is after a head; with `of`, for the piece at `offset` of the document of that digest.
 
     `whole` asks for the whole document though deltas would do: they did not fit here.
@@ -98,14 +98,14 @@
     whole: bool = False
 
 
-class Reply(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
+class RevisionReply(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
     """What another gateway says: its head, and deltas in order, or a piece of its document, or neither.
 
     `size` is the length of the whole document where `page` is a piece of it at `offset`. `fork` says
     that the asker's head has another digest there.
     """
 
-    head: Head
+    head: RevisionId
     deltas: tuple[Delta, ...] = ()
     page: bytes = b""
     offset: int = 0
@@ -116,7 +116,7 @@
 # In
 
 
-class HeadHeard(msgspec.Struct, frozen=True, gc=False):
+class RevisionAnnounced(msgspec.Struct, frozen=True, gc=False):
     """Membership: a word of a gateway of the region told this head; `mark` as in `Head`.
 
     `deltas` are the revisions that this gateway lacks, as far as the word had room for them. `asked` says
@@ -126,16 +126,16 @@
     peer: str
     term: int
     number: int
-    mark: int
+    digest_prefix: int
     deltas: tuple[Delta, ...] = ()
-    asked: bool = False
+    wants_answer: bool = False
 
 
-class Pulled(msgspec.Struct, frozen=True, gc=False):
+class PullSucceeded(msgspec.Struct, frozen=True, gc=False):
     """A peer adapter: the answer to `AskRevisions` number `call`."""
 
     call: int
-    reply: Reply
+    reply: RevisionReply
 
 
 class PullFailed(msgspec.Struct, frozen=True, gc=False):
@@ -157,35 +157,35 @@
     order: int
 
 
-class Kept(msgspec.Struct, frozen=True, gc=False):
+class WriteFinished(msgspec.Struct, frozen=True, gc=False):
     """The file: what `Keep` number `number` wanted is on disk, or (not `good`) may or may not be there."""
 
     number: int
-    good: bool = True
+    is_durable: bool = True
 
 
-class Tick(msgspec.Struct, frozen=True, gc=False):
+class TimerFired(msgspec.Struct, frozen=True, gc=False):
     """The time of a wake has come; `due` is when it should have."""
 
-    due: int
+    scheduled_at: int
 
 
-Event = HeadHeard | Pulled | PullFailed | Publish | TakeOver | Kept | Tick
+Event = RevisionAnnounced | PullSucceeded | PullFailed | Publish | TakeOver | WriteFinished | TimerFired
 
 
 # Out
 
 
-class AskRevisions(msgspec.Struct, frozen=True, gc=False):
+class PullRevisions(msgspec.Struct, frozen=True, gc=False):
     """To a peer adapter: ask `source`; `Pulled` or `PullFailed` with this `call`, by `until` (µs)."""
 
     call: int
-    source: Source
-    question: Question
-    until: int
+    source: PullSource
+    request: RevisionRequest
+    deadline: int
 
 
-class Keep(msgspec.Struct, frozen=True, gc=False):
+class WriteRevision(msgspec.Struct, frozen=True, gc=False):
     """To the file: write this, durably; `Kept` with this `number` answers, never before `take` returned.
 
     One is out at a time; a disk that stands still is answered, not good, within seconds. `deltas` lead from
@@ -194,39 +194,39 @@
     """
 
     number: int
-    head: Head
+    head: RevisionId
     document: bytes
     deltas: tuple[Delta, ...] = ()
-    leads: int = 0
+    publisher_term: int = 0
 
 
-class InForce(msgspec.Struct, frozen=True, gc=False):
+class ActiveRevision(msgspec.Struct, frozen=True, gc=False):
     """Put this document in force; it was checked. `head` goes into the words of membership."""
 
-    head: Head
+    head: RevisionId
     document: bytes
 
 
-class Ordered(msgspec.Struct, frozen=True, gc=False):
+class OrderAnswered(msgspec.Struct, frozen=True, gc=False):
     """The answer to an operator: `head` is the new revision's where `good`, else the one in force."""
 
     order: int
-    good: bool
+    is_accepted: bool
     reason: str
-    head: Head
+    head: RevisionId
 
 
-class Say(msgspec.Struct, frozen=True, gc=False):
+class LogEvent(msgspec.Struct, frozen=True, gc=False):
     """A log line for operators; said once for each cause, not at each repetition."""
 
     what: str
     about: str = ""
 
 
-class Wake(msgspec.Struct, frozen=True, gc=False):
+class ScheduleTimer(msgspec.Struct, frozen=True, gc=False):
     """Call back with `Tick(at)`; an earlier wake that was asked for may still come and does nothing."""
 
     at: int
 
 
-Command = AskRevisions | Keep | InForce | Ordered | Say | Wake
+Command = PullRevisions | WriteRevision | ActiveRevision | OrderAnswered | LogEvent | ScheduleTimer
--- a/mintmast/decisions/gateways/revisions.py
+++ b/mintmast/decisions/gateways/revisions.py
@@ -11,169 +11,186 @@
 
 import random
 
-from mintmast.decisions.gateways.history import History, chain, checked
-from mintmast.decisions.gateways.publisher import MOST_ORDERS, Order, Publisher
+from mintmast.decisions.gateways.history import History, apply_deltas, validate_patch
+from mintmast.decisions.gateways.publisher import MAX_PENDING_ORDERS, Order, Publisher
 from mintmast.decisions.gateways.pulls import (
-    FAR_TIME,
+    REMOTE_TIMEOUT_US,
     MS,
-    NEAR_TIME,
-    Keeping,
+    REGION_TIMEOUT_US,
+    PendingWrite,
     Pull,
-    Said,
+    LoggedOnce,
     Senders,
-    Start,
-    shaped,
+    StartupPhase,
+    is_well_formed,
 )
-from mintmast.decisions.gateways.revising import (
-    MOST,
-    NOTHING,
-    AskRevisions,
-    Check,
+from mintmast.decisions.gateways.revision_types import (
+    MAX_NUMBER,
+    EMPTY_PATCH,
+    PullRevisions,
+    PatchValidator,
     Command,
     Delta,
     Event,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
-    Ordered,
-    Pulled,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
+    OrderAnswered,
+    PullSucceeded,
     PullFailed,
-    Question,
-    Reply,
-    Say,
-    Source,
+    RevisionRequest,
+    RevisionReply,
+    LogEvent,
+    PullSource,
     Stored,
-    Tick,
-    Wake,
+    TimerFired,
+    ScheduleTimer,
     digest_of,
 )
 
 # µs between a region's questions to other regions, whatever its size: two a second, whatever fails
-ABROAD_EVERY = 500 * MS
+REMOTE_PULL_PERIOD_US = 500 * MS
 
 
 class Revisions:
     """One gateway's part. `others` counts the region's other gateways, `abroad` others' addresses."""
 
     def __init__(
-        self, stored: Stored, check: Check, rng: random.Random, others: int = 0, abroad: int = 0
+        self, stored: Stored, validate: PatchValidator, rng: random.Random, others: int = 0, remote: int = 0
     ) -> None:
         self.head, self.document = stored.head, stored.document
         self.publisher = Publisher(stored.leads, stored.head.term, rng)
-        self.refused, self.fault = Head(), ""  # what was told and did not check here, and why
+        self.rejected, self.rejection_reason = (
+            RevisionId(),
+            "",
+        )  # what was told and did not check here, and why
         self.forks = 0
         kinds = ("bad head", "bad question", "bad reply", "late reply", "bad digest", "refused")
         self.dropped = dict.fromkeys(kinds, 0)
-        self.pulls = dict.fromkeys(("asked", "failed", "answered", "pages", "brought"), 0)
-        self._check, self._random = check, rng
-        self._others, self._abroad = others, abroad
+        self.pull_counts = dict.fromkeys(("asked", "failed", "answered", "pages", "brought"), 0)
+        self._validate, self._random = validate, rng
+        self._others, self._remote = others, remote
         self.history = History(stored)
-        self._near: Pull | None = None
-        self._far: Pull | None = None
-        self._calls = self._keeps = self._far_at = self._due = 0
+        self._region_pull: Pull | None = None
+        self._remote_pull: Pull | None = None
+        self._pull_number = self._write_number = self._next_remote_pull_at = self._timer_at = 0
         self._senders = Senders(rng)
-        self._start = Start(others, abroad)
-        self._whole = False
-        self._keeping: Keeping | None = None
-        self._said = Said()
-        self._out: list[Command] = []
+        self._startup = StartupPhase(others, remote)
+        self._needs_document = False
+        self._pending_write: PendingWrite | None = None
+        self._logged = LoggedOnce()
+        self._commands: list[Command] = []
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Tell whether the head is known not to be old, or enough time has gone by since the start."""
-        return self._start.over
+        return self._startup.is_over
 
     # Events
 
     def begin(self, now: int) -> list[Command]:
         """Start: the document begun with is in force."""
-        self._start.begin(now)
-        self._far_next(now)
-        self._out.append(InForce(self.head, self.document))
-        return self._take_out(now)
+        self._startup.begin(now)
+        self._schedule_remote_pull(now)
+        self._commands.append(ActiveRevision(self.head, self.document))
+        return self._take_commands(now)
 
-    def take(self, now: int, event: Event) -> list[Command]:
+    def handle(self, now: int, event: Event) -> list[Command]:
         """Take an event and give the commands that follow."""
-        if isinstance(event, HeadHeard):
-            self._head_heard(now, event)
-        elif isinstance(event, Pulled):
-            self._pulled(now, event)
+        if isinstance(event, RevisionAnnounced):
+            self._revision_announced(now, event)
+        elif isinstance(event, PullSucceeded):
+            self._pull_succeeded(now, event)
         elif isinstance(event, PullFailed):
-            self._fail(now, self._ended(event.call))
-        elif isinstance(event, Kept):
-            self._kept(now, event)
-        elif isinstance(event, Tick):
-            if event.due == self._due:
-                self._due = 0
-                self._tick(now)
-        elif len(self.publisher.orders) >= MOST_ORDERS:
-            self._ordered(event.order, "too many orders wait")
+            self._pull_failed(now, self._finish_pull(event.call))
+        elif isinstance(event, WriteFinished):
+            self._write_finished(now, event)
+        elif isinstance(event, TimerFired):
+            if event.scheduled_at == self._timer_at:
+                self._timer_at = 0
+                self._timer_fired(now)
+        elif len(self.publisher.orders) >= MAX_PENDING_ORDERS:
+            self._refuse_order(event.order, "too many orders wait")
         else:
             self.publisher.orders.append(event)
-        self._go_on(now)
-        return self._take_out(now)
+        self._proceed(now)
+        return self._take_commands(now)
 
-    def _take_out(self, now: int) -> list[Command]:
-        near, far, after = self._near, self._far, self._senders.ask_at
+    def _take_commands(self, now: int) -> list[Command]:
+        near, far, after = self._region_pull, self._remote_pull, self._senders.pull_at
         again = after if self._senders and near is None and after > now else 0
-        start = 0 if self._start.over else self._start.by
-        times = (near.until if near else 0, far.until if far else self._far_at, start, again)
+        start = 0 if self._startup.is_over else self._startup.deadline
+        times = (
+            near.deadline if near else 0,
+            far.deadline if far else self._next_remote_pull_at,
+            start,
+            again,
+        )
         due = min((at for at in times if at), default=0)
-        if due and due != self._due:
-            self._due = due
-            self._out.append(Wake(due))
-        out, self._out = self._out, []
+        if due and due != self._timer_at:
+            self._timer_at = due
+            self._commands.append(ScheduleTimer(due))
+        out, self._commands = self._commands, []
         return out
 
-    def _tick(self, now: int) -> None:
+    def _timer_fired(self, now: int) -> None:
         """Do what is due. A pull whose end nobody told ends here: one lost answer must not be the last."""
-        for pull in (self._near, self._far):
-            if pull is not None and now >= pull.until:
-                self._fail(now, self._ended(pull.call))
-        if self._far_at and now >= self._far_at and self._far is None:
-            self._far_next(now)
-            if not self.fault or now >= self._senders.after:
-                self._ask(now, self._random.randrange(self._abroad))
-
-    def _far_next(self, now: int) -> None:
+        for pull in (self._region_pull, self._remote_pull):
+            if pull is not None and now >= pull.deadline:
+                self._pull_failed(now, self._finish_pull(pull.call))
+        if self._next_remote_pull_at and now >= self._next_remote_pull_at and self._remote_pull is None:
+            self._schedule_remote_pull(now)
+            if not self.rejection_reason or now >= self._senders.backoff_until:
+                self._send_pull(now, self._random.randrange(self._remote))
+
+    def _schedule_remote_pull(self, now: int) -> None:
         """Draw when to ask another region: the mean gap grows with the region, so that all ask as often."""
-        if self._abroad:
-            mean = ABROAD_EVERY * (self._others + 1)
-            self._far_at = now + 1 + min(10 * mean, int(self._random.expovariate(1 / mean)))
+        if self._remote:
+            mean = REMOTE_PULL_PERIOD_US * (self._others + 1)
+            self._next_remote_pull_at = now + 1 + min(10 * mean, int(self._random.expovariate(1 / mean)))
 
-    def _go_on(self, now: int) -> None:
+    def _proceed(self, now: int) -> None:
         """Take what waited: orders, then a pull; and see whether the start is over."""
-        while self.publisher.orders and self._keeping is None:
-            self._order(now, self.publisher.orders.popleft())
-        if self._senders and self._keeping is None and self._near is None and now >= self._senders.ask_at:
+        while self.publisher.orders and self._pending_write is None:
+            self._execute_order(now, self.publisher.orders.popleft())
+        if (
+            self._senders
+            and self._pending_write is None
+            and self._region_pull is None
+            and now >= self._senders.pull_at
+        ):
             best = self._senders.best(self.head.key, now)
             if best is not None:
-                self._ask(now, best)
-        if not self._start.over:
-            self._start.look(now, bool(self._near or self._keeping or self._senders))
+                self._send_pull(now, best)
+        if not self._startup.is_over:
+            self._startup.update(now, bool(self._region_pull or self._pending_write or self._senders))
 
     # What others tell
 
-    def _head_heard(self, now: int, event: HeadHeard) -> None:
+    def _revision_announced(self, now: int, event: RevisionAnnounced) -> None:
         key, own = (event.term, event.number), self.head.key
-        if not (0 <= event.term <= MOST and 0 <= event.number <= MOST and 0 <= event.mark < 1 << 32):
+        if not (
+            0 <= event.term <= MAX_NUMBER
+            and 0 <= event.number <= MAX_NUMBER
+            and 0 <= event.digest_prefix < 1 << 32
+        ):
             self.dropped["bad head"] += 1
             return
-        self._start.heard(event.peer)
+        self._startup.peer_announced(event.peer)
         if key <= own:
-            self._senders.drop(event.peer)
-            if key == own and event.mark != self.head.mark:
-                about = f"{event.term}.{event.number} of {event.peer} has mark {event.mark:08x}"
-                self._forked(about, event.mark)
+            self._senders.forget(event.peer)
+            if key == own and event.digest_prefix != self.head.digest_prefix:
+                about = f"{event.term}.{event.number} of {event.peer} has mark {event.digest_prefix:08x}"
+                self._record_fork(about, event.digest_prefix)
             return
-        self.publisher.heard(event.term)
-        self._resign(event.term)
-        self._senders.told(event.peer, key, now, event.asked)
-        self._brought(now, event)
+        self.publisher.observe_term(event.term)
+        self._step_down(event.term)
+        self._senders.announced(event.peer, key, now, event.wants_answer)
+        self._apply_announced_deltas(now, event)
 
-    def _brought(self, now: int, event: HeadHeard) -> None:
+    def _apply_announced_deltas(self, now: int, event: RevisionAnnounced) -> None:
         """Take revisions that came with a word, checked as those that were asked for.
 
         Danger: one that does not check here comes again with every other word, and each check is one of the
@@ -181,216 +198,234 @@
         left to a question.
         """
         own = self.head
-        deltas = tuple(each for each in event.deltas if each.head.key > own.key)
-        if not deltas or deltas[0].head.number != own.number + 1 or self._whole:
+        deltas = tuple(each for each in event.deltas if each.revision.key > own.key)
+        if not deltas or deltas[0].revision.number != own.number + 1 or self._needs_document:
             return
-        if self._keeping is None and self._near is None:
-            self.pulls["brought"] += 1
-            self._deltas(now, Pull(0, event.peer, own, now), Reply(deltas[-1].head, deltas))
+        if self._pending_write is None and self._region_pull is None:
+            self.pull_counts["brought"] += 1
+            self._apply_deltas(now, Pull(0, event.peer, own, now), RevisionReply(deltas[-1].revision, deltas))
 
-    def _forked(self, about: str, mark: int) -> None:
+    def _record_fork(self, about: str, digest_prefix: int) -> None:
         """Book that one number names two documents; neither is put over the other.
 
         Danger: whoever applied it would have two gateways change places for ever, and operators see nothing.
         """
-        self._resign(self.head.term)
-        self.forks += self._say("fork", about, f"{self.head}, {mark:08x}")
+        self._step_down(self.head.term)
+        self.forks += self._log("fork", about, f"{self.head}, {digest_prefix:08x}")
 
-    def _resign(self, term: int) -> None:
+    def _step_down(self, term: int) -> None:
         """Be publisher no more where a later term is told, or a number of this one that is not from here."""
-        lost, keeping = self.publisher.lose(term), self._keeping
-        if keeping is not None and 0 < keeping.leads <= term:
-            keeping.leads, lost = 0, True
+        lost, keeping = self.publisher.step_down(term), self._pending_write
+        if keeping is not None and 0 < keeping.publisher_term <= term:
+            keeping.publisher_term, lost = 0, True
         if lost:
-            self._say("publisher_no_more", f"term {term} is numbered elsewhere")
+            self._log("publisher_no_more", f"term {term} is numbered elsewhere")
 
-    def _say(self, what: str, about: str, once: str = "") -> bool:
+    def _log(self, what: str, about: str, once: str = "") -> bool:
         """Say it, but once for each `once`; tell whether it was said now."""
-        if not self._said.new(what, once or about):
+        if not self._logged.is_new(what, once or about):
             return False
-        self._out.append(Say(what, about))
+        self._commands.append(LogEvent(what, about))
         return True
 
     # Pulls
 
-    def _ask(self, now: int, source: Source, on: Pull | None = None) -> None:
+    def _send_pull(self, now: int, source: PullSource, continued: Pull | None = None) -> None:
         """Ask for what is after the head, or go on with a document that comes in pieces."""
-        self._calls += 1
-        self.pulls["asked"] += 1
-        near, head = isinstance(source, str), self.head
-        pull = Pull(self._calls, source, head, now + (NEAR_TIME if near else FAR_TIME))
-        whole = self._whole and now >= self._senders.after
-        question = Question(head.term, head.number, head.digest, whole=whole)
-        if on is not None:
-            pull.of, pull.got = on.of, on.got
-            question = Question(head.term, head.number, head.digest, len(on.got), on.of.digest, True)
-        if near:
-            self._near = pull
+        self._pull_number += 1
+        self.pull_counts["asked"] += 1
+        in_region, head = isinstance(source, str), self.head
+        pull = Pull(
+            self._pull_number, source, head, now + (REGION_TIMEOUT_US if in_region else REMOTE_TIMEOUT_US)
+        )
+        whole = self._needs_document and now >= self._senders.backoff_until
+        request = RevisionRequest(head.term, head.number, head.digest, whole=whole)
+        if continued is not None:
+            pull.document_of, pull.received = continued.document_of, continued.received
+            request = RevisionRequest(
+                head.term,
+                head.number,
+                head.digest,
+                len(continued.received),
+                continued.document_of.digest,
+                True,
+            )
+        if in_region:
+            self._region_pull = pull
         else:
-            self._far = pull
-        self._out.append(AskRevisions(pull.call, source, question, pull.until))
+            self._remote_pull = pull
+        self._commands.append(PullRevisions(pull.call, source, request, pull.deadline))
 
-    def _ended(self, call: int) -> Pull | None:
+    def _finish_pull(self, call: int) -> Pull | None:
         """Give the pull of this number, which is out no more; None for one that ended before."""
-        for pull in (self._near, self._far):
+        for pull in (self._region_pull, self._remote_pull):
             if pull is not None and pull.call == call:
-                if pull is self._near:
-                    self._near = None
+                if pull is self._region_pull:
+                    self._region_pull = None
                 else:
-                    self._far = None
+                    self._remote_pull = None
                 return pull
         self.dropped["late reply"] += 1
         return None
 
-    def _fail(self, now: int, pull: Pull | None) -> None:
+    def _pull_failed(self, now: int, pull: Pull | None) -> None:
         """Go on without this source for now."""
         if pull is not None:
-            self.pulls["failed"] += 1
+            self.pull_counts["failed"] += 1
             if isinstance(pull.source, str):
-                self._senders.failed(pull.source, now)
+                self._senders.pull_failed(pull.source, now)
 
-    def _pulled(self, now: int, event: Pulled) -> None:
-        pull = self._ended(event.call)
+    def _pull_succeeded(self, now: int, event: PullSucceeded) -> None:
+        pull = self._finish_pull(event.call)
         if pull is None:
             return
-        reply, self._start.any = event.reply, True
-        if not shaped(reply):
-            self._bad(now, pull, "bad reply")
+        reply, self._startup.heard_any = event.reply, True
+        if not is_well_formed(reply):
+            self._reject_reply(now, pull, "bad reply")
         elif reply.head.key <= self.head.key:
             if reply.head.key == self.head.key and reply.head.digest != self.head.digest:
-                self._forked(f"{reply.head} of {pull.source}", reply.head.mark)
+                self._record_fork(f"{reply.head} of {pull.source}", reply.head.digest_prefix)
             if isinstance(pull.source, str) and reply.head.key <= pull.since.key:
-                self._fail(now, pull)  # it told a newer head and has none
-        elif self._keeping is not None or pull.since != self.head:
+                self._pull_failed(now, pull)  # it told a newer head and has none
+        elif self._pending_write is not None or pull.since != self.head:
             return  # another pull was quicker: what is missing now is asked for again
         else:
-            self.publisher.heard(reply.head.term)
-            self._resign(reply.head.term)
+            self.publisher.observe_term(reply.head.term)
+            self._step_down(reply.head.term)
             if reply.fork:
-                self._forked(f"{self.head} is another one at {pull.source}", 0)
+                self._record_fork(f"{self.head} is another one at {pull.source}", 0)
             if reply.deltas:
-                self._deltas(now, pull, reply)
+                self._apply_deltas(now, pull, reply)
             elif reply.size and reply.page:
-                self._page(now, pull, reply)
+                self._add_page(now, pull, reply)
             else:
-                self._bad(now, pull, "bad reply")
+                self._reject_reply(now, pull, "bad reply")
 
-    def _bad(self, now: int, pull: Pull, why: str) -> None:
+    def _reject_reply(self, now: int, pull: Pull, why: str) -> None:
         self.dropped[why] += 1
-        self._say("bad_reply", f"{why} of {pull.source}")
-        self._fail(now, pull)
+        self._log("bad_reply", f"{why} of {pull.source}")
+        self._pull_failed(now, pull)
 
-    def _deltas(self, now: int, pull: Pull, reply: Reply) -> None:
+    def _apply_deltas(self, now: int, pull: Pull, reply: RevisionReply) -> None:
         """Take revisions one after the other; each is checked here too, and must give what it says."""
-        head, document, good, fault, why = chain(self._check, self.head, self.document, reply)
+        head, document, good, fault, why = apply_deltas(self._validate, self.head, self.document, reply)
         if fault == "refused":
-            self._refuse(now, reply.deltas[len(good)].head, why)
+            self._reject_revision(now, reply.deltas[len(good)].revision, why)
         if good:
-            self._keep(head, document, good)
-            if isinstance(pull.source, int) and not fault and head != reply.head and self._keeping:
-                self._keeping.on = pull.source
+            self._write(head, document, good)
+            if isinstance(pull.source, int) and not fault and head != reply.head and self._pending_write:
+                self._pending_write.continue_at = pull.source
         if fault == "refused":
-            self._fail(now, pull)
+            self._pull_failed(now, pull)
         elif fault:
-            self._whole = self._whole or fault == "bad digest"
-            self._bad(now, pull, fault)
+            self._needs_document = self._needs_document or fault == "bad digest"
+            self._reject_reply(now, pull, fault)
 
-    def _page(self, now: int, pull: Pull, reply: Reply) -> None:
+    def _add_page(self, now: int, pull: Pull, reply: RevisionReply) -> None:
         """Take a piece of a whole document, and the document with its last piece."""
-        fault = pull.piece(reply)
+        fault = pull.add_page(reply)
         if fault:
-            self._bad(now, pull, fault)
+            self._reject_reply(now, pull, fault)
             return
-        if len(pull.got) < reply.size:
-            self._ask(now, pull.source, pull)
+        if len(pull.received) < reply.size:
+            self._send_pull(now, pull.source, pull)
             return
-        after, why = checked(self._check, pull.got, NOTHING)
-        if after != pull.got:
-            self._refuse(now, reply.head, why or "the document is not canonical")
-            self._fail(now, pull)
+        after, why = validate_patch(self._validate, pull.received, EMPTY_PATCH)
+        if after != pull.received:
+            self._reject_revision(now, reply.head, why or "the document is not canonical")
+            self._pull_failed(now, pull)
             return
-        self._keep(reply.head, pull.got, ())
+        self._write(reply.head, pull.received, ())
 
-    def _refuse(self, now: int, head: Head, why: str) -> None:
+    def _reject_revision(self, now: int, head: RevisionId, why: str) -> None:
         """Stay with the head in force; ask for a whole document, which may mend it, in a while."""
-        self.refused, self.fault, self._whole = head, why[:300] or "it does not check", True
+        self.rejected, self.rejection_reason, self._needs_document = (
+            head,
+            why[:300] or "it does not check",
+            True,
+        )
         self.dropped["refused"] += 1
-        self._senders.refused(now)
-        self._say("refused", f"{head}: {self.fault}")
+        self._senders.revision_rejected(now)
+        self._log("refused", f"{head}: {self.rejection_reason}")
 
     # What becomes in force
 
-    def _keep(
-        self, head: Head, document: bytes, deltas: tuple[Delta, ...], leads: int = 0, order: int | None = None
+    def _write(
+        self,
+        head: RevisionId,
+        document: bytes,
+        deltas: tuple[Delta, ...],
+        publisher_term: int = 0,
+        order: int | None = None,
     ) -> None:
         """Write first, then it is in force and told.
 
         Danger: a gateway that dies and comes back with an older revision, and a publisher that gives the
         number of one which others have already to another change.
         """
-        self._keeps += 1
-        self._keeping = Keeping(self._keeps, head, document, deltas, leads, order)
-        self._out.append(Keep(self._keeps, head, document, deltas, leads))
+        self._write_number += 1
+        self._pending_write = PendingWrite(self._write_number, head, document, deltas, publisher_term, order)
+        self._commands.append(WriteRevision(self._write_number, head, document, deltas, publisher_term))
 
-    def _kept(self, now: int, event: Kept) -> None:
-        kept = self._keeping
-        if kept is None or kept.number != event.number:
+    def _write_finished(self, now: int, event: WriteFinished) -> None:
+        written = self._pending_write
+        if written is None or written.number != event.number:
             return
-        self._keeping = None
-        if not event.good and kept.order is not None:
+        self._pending_write = None
+        if not event.is_durable and written.order is not None:
             # it may be on disk: its number must never be given to another change
-            self.publisher.heard(kept.head.term)
-            self.publisher.leads = 0
-            self._say("publisher_no_more", f"{kept.head} could not be written")
-            self._ordered(kept.order, "it could not be written; take over anew")
+            self.publisher.observe_term(written.head.term)
+            self.publisher.term = 0
+            self._log("publisher_no_more", f"{written.head} could not be written")
+            self._refuse_order(written.order, "it could not be written; take over anew")
             return
-        if not event.good:
-            self._say("not_kept", "a restart begins from an older revision until others are heard")
-        self._in_force(now, kept)
-
-    def _in_force(self, now: int, kept: Keeping) -> None:
-        self.head, self.document = kept.head, kept.document
-        self.publisher.heard(kept.head.term)
-        if kept.order is None:
-            self._resign(kept.head.term)
+        if not event.is_durable:
+            self._log("not_kept", "a restart begins from an older revision until others are heard")
+        self._activate(now, written)
+
+    def _activate(self, now: int, written: PendingWrite) -> None:
+        self.head, self.document = written.head, written.document
+        self.publisher.observe_term(written.head.term)
+        if written.order is None:
+            self._step_down(written.head.term)
         else:
-            self.publisher.leads = kept.leads
-        self.history.extend(kept.head, kept.deltas)
-        if self.refused.key <= self.head.key:
-            self._senders.well()
-            self.refused, self.fault, self._whole = Head(), "", False
-        self._out.append(InForce(self.head, self.document))
-        if kept.on is not None and self._far is None:
-            self._ask(now, kept.on)
-        if kept.order is not None:
-            self._out.append(Ordered(kept.order, True, "", self.head))
+            self.publisher.term = written.publisher_term
+        self.history.extend(written.head, written.deltas)
+        if self.rejected.key <= self.head.key:
+            self._senders.reset()
+            self.rejected, self.rejection_reason, self._needs_document = RevisionId(), "", False
+        self._commands.append(ActiveRevision(self.head, self.document))
+        if written.continue_at is not None and self._remote_pull is None:
+            self._send_pull(now, written.continue_at)
+        if written.order is not None:
+            self._commands.append(OrderAnswered(written.order, True, "", self.head))
 
     # Orders
 
-    def _order(self, now: int, event: Order) -> None:
+    def _execute_order(self, now: int, event: Order) -> None:
         """Give a change its number, where it is good: a bad one gets none and never leaves."""
-        behind = self._senders.best(self.head.key, now) is not None
-        fault = self.publisher.fault(event, self.head.number, self._start.fault(self.head), behind)
-        if fault:
-            self._ordered(event.order, fault)
+        is_behind = self._senders.best(self.head.key, now) is not None
+        refusal = self.publisher.refusal(event, self.head.number, self._startup.refusal(self.head), is_behind)
+        if refusal:
+            self._refuse_order(event.order, refusal)
             return
-        term, patch = self.publisher.numbers(event)
-        after, why = checked(self._check, self.document, patch)
+        term, patch = self.publisher.term_and_patch(event)
+        after, why = validate_patch(self._validate, self.document, patch)
         if after is None:
-            self._ordered(event.order, why)
+            self._refuse_order(event.order, why)
             return
-        head = Head(term, self.head.number + 1, digest_of(after))
-        self._keep(head, after, (Delta(head, patch),), term, event.order)
+        head = RevisionId(term, self.head.number + 1, digest_of(after))
+        self._write(head, after, (Delta(head, patch),), term, event.order)
 
-    def _ordered(self, order: int, reason: str) -> None:
-        self._out.append(Ordered(order, False, reason, self.head))
+    def _refuse_order(self, order: int, reason: str) -> None:
+        self._commands.append(OrderAnswered(order, False, reason, self.head))
 
-    def answer(self, question: Question) -> Reply | None:
+    def answer(self, request: RevisionRequest) -> RevisionReply | None:
         """Answer another gateway; None, counted, for what is no question."""
-        reply = self.history.answer(self.head, self.document, question)
+        reply = self.history.answer(self.head, self.document, request)
         if reply is None:
             self.dropped["bad question"] += 1
             return None
-        self.pulls["answered"] += 1
-        self.pulls["pages"] += reply.size > 0
+        self.pull_counts["answered"] += 1
+        self.pull_counts["pages"] += reply.size > 0
         return reply
--- a/mintmast/decisions/gateways/witness.py
+++ b/mintmast/decisions/gateways/witness.py
@@ -12,29 +12,29 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from mintmast.decisions.gateways.talk import Known, Vote
+from mintmast.decisions.gateways.claim_messages import KnownClaim, Vote
 
 SECOND = 1_000_000
 # gateways that are asked about a key: two of three go on when any one is dead; five would live through two
 # deaths, for two thirds more messages
-WITNESSES = 3
+WITNESSES_PER_KEY = 3
 # µs for which a record is kept beyond the session's length: as long as a gateway keeps a spent key
-KEPT = 3600 * SECOND
+RECORD_RETENTION_US = 3600 * SECOND
 # µs; length taken for a session whose length is not known, a live one: no viewer watches longer
-LONGEST = 24 * 3600 * SECOND
+MAX_SESSION_US = 24 * 3600 * SECOND
 # records of one witness: an hour of 100 paid sessions a second and as much again; some 200 MB. A witness that
 # is full does not vote
-MOST_RECORDS = 720_000
+MAX_RECORDS = 720_000
 # keys whose witnesses are kept: some 6 MB of the 64 for control, and the keys of an hour at nine a second
-MOST_PLACED = 32_768
+MAX_CACHED_KEYS = 32_768
 # records in one answer to a witness that learns: some 60 kB
-LEARNT_AT_ONCE = 500
+RECORDS_PER_PAGE = 500
 # owner of a record of which two gateways tell different things; no gateway's name
 CONTESTED = "?"
 
 
 @dataclass(slots=True, frozen=True)
-class Record:
+class ClaimRecord:
     """What a witness knows of a key: the claim that it granted, and those that it must never grant."""
 
     owner: str = ""  # gateway and start of the claim's owner, "" for free
@@ -42,25 +42,25 @@
     released: tuple[tuple[str, int], ...] = ()  # of each owner the highest number that is over
 
 
-def vote(record: Record, owner: str, number: int) -> tuple[Record, Vote]:
+def vote_on_claim(record: ClaimRecord, owner: str, number: int) -> tuple[ClaimRecord, Vote]:
     """Let a witness vote on a claim. A gateway asks for a key again only when its claim before is over."""
     if any(each == owner and number <= last for each, last in record.released):
         return record, Vote.HELD  # it came late: nobody waits for this vote any more
     if not record.owner or (record.owner == owner and record.number <= number):
-        return Record(owner, number, record.released), Vote.GRANTED
+        return ClaimRecord(owner, number, record.released), Vote.GRANTED
     return record, Vote.HELD
 
 
-def release(record: Record, owner: str, number: int) -> Record:
+def release_claim(record: ClaimRecord, owner: str, number: int) -> ClaimRecord:
     """Let a witness take a release; a claim that comes after it is never granted."""
     last = max([number, *(each for other, each in record.released if other == owner)])
     released = (*(each for each in record.released if each[0] != owner), (owner, last))
     if record.owner == owner and record.number <= number:
-        return Record("", 0, released)
-    return Record(record.owner, record.number, released)
+        return ClaimRecord("", 0, released)
+    return ClaimRecord(record.owner, record.number, released)
 
 
-def learn(record: Record, owner: str, number: int) -> Record:
+def merge_known_claim(record: ClaimRecord, owner: str, number: int) -> ClaimRecord:
     """Let a witness that starts take what another gateway knows.
 
     Two gateways may know of two claims, as one of them may be under way or given up by now. Which of the two
@@ -69,25 +69,25 @@
     if any(each == owner and number <= last for each, last in record.released):
         return record
     if not record.owner or (record.owner == owner and record.number <= number):
-        return Record(owner, number, record.released)
-    return record if record.owner == owner else Record(CONTESTED, 0, record.released)
+        return ClaimRecord(owner, number, record.released)
+    return record if record.owner == owner else ClaimRecord(CONTESTED, 0, record.released)
 
 
-def digest_of(key: str) -> str:
+def hash_key(key: str) -> str:
     """Give a key's name among gateways: of one length, and nothing of the viewer in it."""
     return hashlib.blake2b(key.encode(), digest_size=16).hexdigest()
 
 
-def witnesses_of(digest: str, members: tuple[str, ...]) -> tuple[str, ...]:
+def select_witnesses(digest: str, members: tuple[str, ...]) -> tuple[str, ...]:
     """Give a key's witnesses by rendezvous hashing: the same for all who have the same members."""
 
     def weight(member: str) -> bytes:
         return hashlib.blake2b(f"{member} {digest}".encode(), digest_size=8).digest()
 
-    return tuple(sorted(members, key=weight)[:WITNESSES])
+    return tuple(sorted(members, key=weight)[:WITNESSES_PER_KEY])
 
 
-class Rendezvous:
+class WitnessSelector:
     """Who witnesses each key among these members; those of the last keys that were asked for are kept.
 
     A key's witnesses are a hash a member. One key is asked for again at its vote, its release and by each
@@ -96,77 +96,81 @@
 
     def __init__(self, members: tuple[str, ...]) -> None:
         self.members = members
-        self._last: dict[str, tuple[str, ...]] = {}
+        self._cache: dict[str, tuple[str, ...]] = {}
 
-    def of(self, digest: str) -> tuple[str, ...]:
+    def select(self, digest: str) -> tuple[str, ...]:
         """Give a key's witnesses."""
-        found = self._last.get(digest)
+        found = self._cache.get(digest)
         if found is None:
-            found = self._last[digest] = witnesses_of(digest, self.members)
-            if len(self._last) > MOST_PLACED:
-                del self._last[next(iter(self._last))]
+            found = self._cache[digest] = select_witnesses(digest, self.members)
+            if len(self._cache) > MAX_CACHED_KEYS:
+                del self._cache[next(iter(self._cache))]
         return found
 
 
-class Witness:
+class WitnessRecords:
     """One gateway's memory as a witness; `owner` names are gateway and start, `keep` is in µs."""
 
     def __init__(self) -> None:
-        self._records: dict[str, Record] = {}
-        self._until: dict[str, int] = {}
-        self.forgotten: list[str] = []  # since someone took note
+        self._records: dict[str, ClaimRecord] = {}
+        self._expires_at: dict[str, int] = {}
+        self.expired: list[str] = []  # since someone took note
 
     def __len__(self) -> int:
         return len(self._records)
 
     def vote(self, now: int, digest: str, owner: str, number: int, keep: int) -> Vote:
         """Vote on a claim."""
-        self._sweep(now)
-        record = self._records.get(digest, Record())
-        if digest not in self._records and len(self._records) >= MOST_RECORDS:
+        self._expire_some(now)
+        record = self._records.get(digest, ClaimRecord())
+        if digest not in self._records and len(self._records) >= MAX_RECORDS:
             return Vote.NONE
-        record, told = vote(record, owner, number)
-        self._put(digest, record, now + min(keep, LONGEST + KEPT))
+        record, told = vote_on_claim(record, owner, number)
+        self._store(digest, record, now + min(keep, MAX_SESSION_US + RECORD_RETENTION_US))
         return told
 
     def release(self, now: int, digest: str, owner: str, number: int) -> None:
         """Take a release."""
-        if digest in self._records or len(self._records) < MOST_RECORDS:
+        if digest in self._records or len(self._records) < MAX_RECORDS:
             # kept for as long as the claim may still be under way, and well beyond
-            self._put(digest, release(self._records.get(digest, Record()), owner, number), now + KEPT)
+            self._store(
+                digest,
+                release_claim(self._records.get(digest, ClaimRecord()), owner, number),
+                now + RECORD_RETENTION_US,
+            )
 
-    def learn(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
+    def merge_known(self, now: int, digest: str, owner: str, number: int, keep: int) -> None:
         """Take what another gateway knows; what was heard of a release since then stands."""
-        record = learn(self._records.get(digest, Record()), owner, number)
-        self._put(digest, record, now + min(keep, LONGEST + KEPT))
+        record = merge_known_claim(self._records.get(digest, ClaimRecord()), owner, number)
+        self._store(digest, record, now + min(keep, MAX_SESSION_US + RECORD_RETENTION_US))
 
-    def record(self, digest: str) -> tuple[Record, int]:
+    def get(self, digest: str) -> tuple[ClaimRecord, int]:
         """Give what is remembered of a key, and until when (µs)."""
-        return self._records.get(digest, Record()), self._until.get(digest, 0)
+        return self._records.get(digest, ClaimRecord()), self._expires_at.get(digest, 0)
 
-    def restore(self, now: int, digest: str, record: Record, keep: int) -> None:
+    def restore(self, now: int, digest: str, record: ClaimRecord, keep: int) -> None:
         """Take a record of an earlier life, still to be kept for so long."""
-        self._put(digest, record, now + keep)
+        self._store(digest, record, now + keep)
 
-    def known(self, now: int, after: str, wanted: Callable[[str], bool]) -> list[Known]:
+    def list_grants(self, now: int, after: str, wanted: Callable[[str], bool]) -> list[KnownClaim]:
         """Give records that are held and wanted, by digest, those after one, at most `LEARNT_AT_ONCE`."""
         rest = sorted(each for each, record in self._records.items() if each > after and record.owner)
-        found = islice(filter(wanted, rest), LEARNT_AT_ONCE)
+        found = islice(filter(wanted, rest), RECORDS_PER_PAGE)
         return [
-            (each, self._records[each].owner, self._records[each].number, self._until[each] - now)
+            (each, self._records[each].owner, self._records[each].number, self._expires_at[each] - now)
             for each in found
         ]
 
-    def _put(self, digest: str, record: Record, until: int) -> None:
+    def _store(self, digest: str, record: ClaimRecord, until: int) -> None:
         self._records[digest] = record
-        until = max(until, self._until.pop(digest, 0))
-        self._until[digest] = until  # at the end: roughly in the order in which they are over
+        until = max(until, self._expires_at.pop(digest, 0))
+        self._expires_at[digest] = until  # at the end: roughly in the order in which they are over
 
-    def _sweep(self, now: int) -> None:
+    def _expire_some(self, now: int) -> None:
         """Forget what is over, a few at a time: records come one by one."""
-        for digest in [each for each, _ in zip(self._until, range(4), strict=False)]:
-            if self._until[digest] <= now:
-                del self._until[digest], self._records[digest]
-                self.forgotten.append(digest)
+        for digest in [each for each, _ in zip(self._expires_at, range(4), strict=False)]:
+            if self._expires_at[digest] <= now:
+                del self._expires_at[digest], self._records[digest]
+                self.expired.append(digest)
             else:
-                self._until[digest] = self._until.pop(digest)
+                self._expires_at[digest] = self._expires_at.pop(digest)
--- a/mintmast/decisions/hosts/drains.py
+++ b/mintmast/decisions/hosts/drains.py
@@ -6,22 +6,22 @@
 
 from __future__ import annotations
 
-from mintmast.decisions.messages import Drain
+from mintmast.decisions.messages import DrainOrdered
 
 
-class Drains:
+class DrainOrders:
     """The orders of one gateway."""
 
     def __init__(self) -> None:
-        self.orders: dict[bytes, int | None] = {}  # host: when it is to be empty (µs), None for not said
+        self.deadlines: dict[bytes, int | None] = {}  # host: when it is to be empty (µs), None for not said
 
-    def take(self, now: int, event: Drain) -> None:
+    def handle(self, now: int, event: DrainOrdered) -> None:
         """Take an order, or its end."""
-        if event.on:
-            self.orders[event.server] = None if event.within is None else now + event.within
+        if event.drain:
+            self.deadlines[event.server] = None if event.within is None else now + event.within
         else:
-            self.orders.pop(event.server, None)
+            self.deadlines.pop(event.server, None)
 
-    def ends(self, server: bytes) -> int | None:
+    def deadline_of(self, server: bytes) -> int | None:
         """Give when an ordered drain is to be through."""
-        return self.orders.get(server)
+        return self.deadlines.get(server)
--- a/mintmast/decisions/hosts/hostwatch.py
+++ b/mintmast/decisions/hosts/host_state.py
@@ -22,32 +22,32 @@
 SECOND = 1_000_000
 # µs; first and longest wait before a broken line is tried again: a restart takes some hundred ms, and a host
 # that is down for long costs one try in two seconds. Halved at random, so that gateways do not come in step
-RETRY_FIRST, RETRY_MOST = SECOND // 10, 2 * SECOND
+RETRY_INITIAL_US, RETRY_MAX_US = SECOND // 10, 2 * SECOND
 
 
 @dataclass(slots=True)
-class Watched:
+class HostState:
     """One host."""
 
     listed: ListEntry
     process: str = ""  # the host's own name for its present life
-    born: int = 0  # its start as it tells, 0 for long ago or not told
-    drains: bool = False
-    ordered: bool = False  # drained by an operator's order here
-    lost_at: int = 0  # while the line is broken: when it was to be tried again for the first time
-    refuses: bool = False  # it took no connection when last asked
-    tries: int = 0
-    told: ListEntry | None = None  # what the module was told last
+    started_at: int = 0  # its start as it tells, 0 for long ago or not told
+    is_draining: bool = False
+    drain_ordered: bool = False  # drained by an operator's order here
+    first_retry_at: int = 0  # while the line is broken: when it was to be tried again for the first time
+    refuses_connections: bool = False  # it took no connection when last asked
+    failed_attempts: int = 0
+    reported_entry: ListEntry | None = None  # what the module was told last
 
 
-class HostWatch:
+class HostStates:
     """Beliefs about all hosts; methods give the entries that changed."""
 
     def __init__(self) -> None:
-        self.hosts: dict[bytes, Watched] = {}
-        self.ordered: set[bytes] = set()  # to be drained by an operator's order, listed or not
+        self.hosts: dict[bytes, HostState] = {}
+        self.drain_orders: set[bytes] = set()  # to be drained by an operator's order, listed or not
 
-    def list_entries(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
+    def handle_list(self, entries: tuple[ListEntry, ...], whole: bool) -> list[ListEntry]:
         """Take the list's news: changed entries, or all of them."""
         named = {entry.server for entry in entries}
         if whole:
@@ -57,12 +57,12 @@
         for entry in entries:
             host = self.hosts.get(entry.server)
             if host is None:
-                self.hosts[entry.server] = Watched(entry, ordered=entry.server in self.ordered)
+                self.hosts[entry.server] = HostState(entry, drain_ordered=entry.server in self.drain_orders)
             else:
                 host.listed = entry
-        return self._changed(self.hosts if whole else named)
+        return self._changed_entries(self.hosts if whole else named)
 
-    def hello(
+    def handle_hello(
         self, now: int, server: bytes, process: str, age: int | None, drains: bool
     ) -> tuple[list[ListEntry], bool]:
         """Take a host's first word on a new line; also tell whether it is another process than before."""
@@ -70,68 +70,74 @@
         if host is None:
             return [], False
         other = bool(host.process) and process != host.process
-        host.tries, host.process, host.drains = 0, process, drains
-        if other or not host.born:
-            host.born = 0 if age is None else max(1, now - max(0, age))
-        host.lost_at = 0
-        host.refuses = False
-        return self._changed([server]), other
-
-    def lost(self, now: int, server: bytes, draw: float, refused: bool) -> tuple[list[ListEntry], int]:
+        host.failed_attempts, host.process, host.is_draining = 0, process, drains
+        if other or not host.started_at:
+            host.started_at = 0 if age is None else max(1, now - max(0, age))
+        host.first_retry_at = 0
+        host.refuses_connections = False
+        return self._changed_entries([server]), other
+
+    def handle_connection_lost(
+        self, now: int, server: bytes, draw: float, refused: bool
+    ) -> tuple[list[ListEntry], int]:
         """Take the end of a line, or a try in vain; give the time to try again. `draw` is from 0 to 1."""
         host = self.hosts.get(server)
         if host is None:
-            return [], now + RETRY_MOST
-        wait = min(RETRY_MOST, RETRY_FIRST << min(host.tries, 10))
+            return [], now + RETRY_MAX_US
+        wait = min(RETRY_MAX_US, RETRY_INITIAL_US << min(host.failed_attempts, 10))
         wait = int(wait * (0.5 + draw / 2))
-        host.lost_at = host.lost_at or now + wait
-        host.refuses = refused
-        host.tries += 1
-        return self._changed([server]), now + wait
+        host.first_retry_at = host.first_retry_at or now + wait
+        host.refuses_connections = refused
+        host.failed_attempts += 1
+        return self._changed_entries([server]), now + wait
 
-    def drain(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain(self, server: bytes, drains: bool) -> list[ListEntry]:
         """Take a host's word that it drains, or drains no more."""
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.drains = drains
-        return self._changed([server])
+        host.is_draining = drains
+        return self._changed_entries([server])
 
-    def order(self, server: bytes, drains: bool) -> list[ListEntry]:
+    def handle_drain_order(self, server: bytes, drains: bool) -> list[ListEntry]:
         """Take an operator's order to drain a host, or to take that back."""
-        (self.ordered.add if drains else self.ordered.discard)(server)
+        (self.drain_orders.add if drains else self.drain_orders.discard)(server)
         host = self.hosts.get(server)
         if host is None:
             return []
-        host.ordered = drains
-        return self._changed([server])
+        host.drain_ordered = drains
+        return self._changed_entries([server])
 
-    def entry(self, host: Watched) -> ListEntry:
+    def effective_entry(self, host: HostState) -> ListEntry:
         """Give what is believed of a host."""
         entry = host.listed
-        if host.refuses:
+        if host.refuses_connections:
             entry = replace(entry, state=ServerState.GONE)
-        elif (host.drains or host.ordered) and entry.state is ServerState.READY:
+        elif (host.is_draining or host.drain_ordered) and entry.state is ServerState.READY:
             entry = replace(entry, state=ServerState.DRAINING)
-        started = max(entry.started, host.born)
-        if host.process and host.lost_at:
-            started = max(started, host.lost_at)
+        started = max(entry.started, host.started_at)
+        if host.process and host.first_retry_at:
+            started = max(started, host.first_retry_at)
         return replace(entry, started=started) if started != entry.started else entry
 
-    def to_leave(self, server: bytes) -> bool:
+    def should_vacate(self, server: bytes) -> bool:
         """Tell whether what plays at a host had better go on elsewhere: it drains, or left the list.
 
         Where it takes no connections there is nothing left to move.
         """
         host = self.hosts.get(server)
-        return host is not None and not host.refuses and self.entry(host).state is not ServerState.READY
+        return (
+            host is not None
+            and not host.refuses_connections
+            and self.effective_entry(host).state is not ServerState.READY
+        )
 
-    def _changed(self, servers) -> list[ListEntry]:
+    def _changed_entries(self, servers) -> list[ListEntry]:
         changed = []
         for server in servers:
             host = self.hosts[server]
-            entry = self.entry(host)
-            if entry != host.told:
-                host.told = entry
+            entry = self.effective_entry(host)
+            if entry != host.reported_entry:
+                host.reported_entry = entry
                 changed.append(entry)
         return changed
--- a/mintmast/decisions/hosts/merging.py
+++ b/mintmast/decisions/hosts/merging.py
@@ -25,12 +25,12 @@
 SECOND = 1_000_000
 # part of the ready servers, and how many at least, that a version may drop without a word: releases take a
 # fifth of a fleet at a time, and a fleet of few servers loses one at any time
-SHARE, FEW = 0.3, 2
+MAX_DROPPED_SHARE, MIN_DROPPED = 0.3, 2
 # µs for which such a version is held back: several polls of any source, and the time in which hosts that are
 # really gone have refused a connection
-HOLD = 10 * SECOND
+HOLD_US = 10 * SECOND
 # losses in a span (µs) after which an entry is taken for flapping, and how long it must then be there (µs)
-FLAPS, FLAP_SPAN, STEADY = 3, 60 * SECOND, 10 * SECOND
+FLAP_LOSSES, FLAP_WINDOW_US, STEADY_US = 3, 60 * SECOND, 10 * SECOND
 
 
 @dataclass(slots=True)
@@ -38,15 +38,15 @@
     """One source as the merger knows it."""
 
     name: str
-    version: dict[bytes, ListEntry] | None = None  # the one in force
-    since: int = 0  # when it was last heard well, µs
-    held: dict[bytes, ListEntry] | None = None  # a version that drops too much
-    held_since: int = 0
+    entries: dict[bytes, ListEntry] | None = None  # the one in force
+    last_read_at: int = 0  # when it was last heard well, µs
+    held_back: dict[bytes, ListEntry] | None = None  # a version that drops too much
+    held_back_since: int = 0
     fault: str = ""  # why the last try was in vain, '' where it was not
 
 
 @dataclass(slots=True)
-class _History:
+class _FlapHistory:
     losses: list[int] = field(default_factory=list)
     ready_since: int = 0
 
@@ -56,35 +56,35 @@
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.sources = {name: Source(name) for name in names}
-        self.believed: dict[bytes, ListEntry] = {}
+        self.merged: dict[bytes, ListEntry] = {}
         self.refusing: set[bytes] = set()
         self.notes: list[str] = []  # what was decided in the last call, for the log
-        self._history: dict[bytes, _History] = {}
+        self._history: dict[bytes, _FlapHistory] = {}
 
-    def offer(self, now: int, name: str, entries: tuple[ListEntry, ...]) -> list[ListEntry]:
+    def update_source(self, now: int, name: str, entries: tuple[ListEntry, ...]) -> list[ListEntry]:
         """Take a checked version of a source; give the entries that change, those gone marked so."""
         self.notes = []
         source = self.sources[name]
         version = {entry.server: entry for entry in entries}
-        source.since, source.fault = now, ""
-        held_since = source.held_since if source.held is not None else now
-        if self._too_much(source, version) and now - held_since < HOLD:
-            if source.held is None:
+        source.last_read_at, source.fault = now, ""
+        held_since = source.held_back_since if source.held_back is not None else now
+        if self._drops_too_many(source, version) and now - held_since < HOLD_US:
+            if source.held_back is None:
                 self.notes.append(f"{name}: a version that drops too many servers is held back")
-            source.held, source.held_since = version, held_since
+            source.held_back, source.held_back_since = version, held_since
             # what it says aloud, and what it adds, is taken all the same
-            source.version = {**(source.version or {}), **version}
+            source.entries = {**(source.entries or {}), **version}
         else:
-            source.version, source.held = version, None
+            source.entries, source.held_back = version, None
         return self._merge(now)
 
-    def failed(self, now: int, name: str, fault: str) -> list[ListEntry]:
+    def mark_failed(self, now: int, name: str, fault: str) -> list[ListEntry]:
         """Take note that a source could not be read; its last version stays."""
         self.notes = []
         self.sources[name].fault = fault
         return self._merge(now)
 
-    def refuses(self, now: int, server: bytes, refuses: bool) -> list[ListEntry]:
+    def set_refusing(self, now: int, server: bytes, refuses: bool) -> list[ListEntry]:
         """Take a host's own evidence: it refuses connections, or is there again."""
         self.notes = []
         (self.refusing.add if refuses else self.refusing.discard)(server)
@@ -93,32 +93,38 @@
     def tick(self, now: int) -> list[ListEntry]:
         """Let time pass: what was held back may be due."""
         for source in self.sources.values():
-            if source.held is None:
+            if source.held_back is None:
                 continue
-            if now - source.held_since >= HOLD or not self._too_much(source, source.held):
+            if now - source.held_back_since >= HOLD_US or not self._drops_too_many(source, source.held_back):
                 self.notes.append(f"{source.name}: the version held back is in force")
-                source.version, source.held = source.held, None
+                source.entries, source.held_back = source.held_back, None
         return self._merge(now)
 
-    def due(self, now: int) -> int | None:
+    def next_change_at(self, now: int) -> int | None:
         """Give the time at which `tick` may change something; None for never."""
-        times = [source.held_since + HOLD for source in self.sources.values() if source.held is not None]
-        times += [each.ready_since + STEADY for each in self._history.values() if self._flaps(now, each)]
+        times = [
+            source.held_back_since + HOLD_US
+            for source in self.sources.values()
+            if source.held_back is not None
+        ]
+        times += [
+            each.ready_since + STEADY_US for each in self._history.values() if self._is_flapping(now, each)
+        ]
         return min((at for at in times if at > now), default=None)
 
-    def _too_much(self, source: Source, version: dict[bytes, ListEntry]) -> bool:
-        old = source.version or {}
+    def _drops_too_many(self, source: Source, version: dict[bytes, ListEntry]) -> bool:
+        old = source.entries or {}
         ready = [server for server, entry in old.items() if entry.state is ServerState.READY]
         dropped = [server for server in ready if server not in version and server not in self.refusing]
-        others = [each for each in self.sources.values() if each is not source and each.version is not None]
+        others = [each for each in self.sources.values() if each is not source and each.entries is not None]
         if others:  # a second opinion: what another source does not have either is not missed
-            dropped = [s for s in dropped if any(s in (each.version or {}) for each in others)]
-        return len(dropped) >= FEW and len(dropped) > SHARE * len(ready)
+            dropped = [s for s in dropped if any(s in (each.entries or {}) for each in others)]
+        return len(dropped) >= MIN_DROPPED and len(dropped) > MAX_DROPPED_SHARE * len(ready)
 
     def _merge(self, now: int) -> list[ListEntry]:
         merged: dict[bytes, ListEntry] = {}
         for source in self.sources.values():
-            for server, entry in (source.version or {}).items():
+            for server, entry in (source.entries or {}).items():
                 first = merged.get(server)
                 if first is None:
                     merged[server] = entry
@@ -127,30 +133,30 @@
                 state = first.state if first.state is not ServerState.READY else entry.state
                 merged[server] = replace(first, state=state, started=started)
         changed = []
-        for server, old in self.believed.items():
+        for server, old in self.merged.items():
             if server not in merged:
                 merged[server] = replace(old, state=ServerState.GONE)
         for server, entry in merged.items():
-            entry = self._damped(now, entry)
-            if self.believed.get(server) != entry:
-                self.believed[server] = entry
+            entry = self._dampen_flapping(now, entry)
+            if self.merged.get(server) != entry:
+                self.merged[server] = entry
                 changed.append(entry)
         return changed
 
-    def _damped(self, now: int, entry: ListEntry) -> ListEntry:
-        history = self._history.setdefault(entry.server, _History())
+    def _dampen_flapping(self, now: int, entry: ListEntry) -> ListEntry:
+        history = self._history.setdefault(entry.server, _FlapHistory())
         if entry.state is not ServerState.READY:
             if history.ready_since:
-                history.losses = [at for at in history.losses if at > now - FLAP_SPAN] + [now]
+                history.losses = [at for at in history.losses if at > now - FLAP_WINDOW_US] + [now]
             history.ready_since = 0
             return entry
         if not history.ready_since:
             history.ready_since = now
-        if self._flaps(now, history) and now - history.ready_since < STEADY:
+        if self._is_flapping(now, history) and now - history.ready_since < STEADY_US:
             self.notes.append(f"{entry.server.decode()}: flaps, and is not used until it is steady")
             return replace(entry, state=ServerState.DRAINING)
         return entry
 
     @staticmethod
-    def _flaps(now: int, history: _History) -> bool:
-        return sum(at > now - FLAP_SPAN for at in history.losses) >= FLAPS
+    def _is_flapping(now: int, history: _FlapHistory) -> bool:
+        return sum(at > now - FLAP_WINDOW_US for at in history.losses) >= FLAP_LOSSES
--- a/mintmast/decisions/hosts/registry.py
+++ b/mintmast/decisions/hosts/registry.py
@@ -15,7 +15,7 @@
 SECOND = 1_000_000
 # states that a status stands for. OUT_OF_SERVICE is what operators set to empty a host. STARTING takes no
 # work yet. Of UNKNOWN nothing is known: nothing new goes there, what plays plays on
-STATES = {
+STATE_BY_STATUS = {
     "UP": ServerState.READY,
     "OUT_OF_SERVICE": ServerState.DRAINING,
     "UNKNOWN": ServerState.DRAINING,
@@ -24,11 +24,11 @@
 }
 # full reads in place of deltas, at least one in so many polls: a hash of counts cannot see two errors that
 # cancel out
-FULL_EVERY = 30
+POLLS_PER_FULL_READ = 30
 # part of the poll's time by which polls are spread, so that hundreds of gateways do not ask at one moment
-SPREAD = 0.2
+POLL_JITTER = 0.2
 # fails of one address in a row before the next is asked
-PATIENCE = 1
+FAILURES_BEFORE_FAILOVER = 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,13 +46,13 @@
     weight: float = 1.0
 
 
-def hashcode(instances: Iterable[Instance]) -> str:
+def compute_hashcode(instances: Iterable[Instance]) -> str:
     """Give `apps__hashcode`: each status and its count, in the order of the statuses' names."""
     counts = Counter(instance.status for instance in instances)
     return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
 
-def entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
+def build_list_entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
     """Give the list that the instances of `app` stand for; of two on one address the later started counts."""
     best: dict[str, Instance] = {}
     for each in instances:
@@ -64,7 +64,7 @@
     return tuple(
         ListEntry(
             address.encode(),
-            STATES.get(each.status, ServerState.DRAINING),
+            STATE_BY_STATUS.get(each.status, ServerState.DRAINING),
             each.started,
             each.cell,
             each.zone,
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class RegistryReader:
     """Decides what to ask, and what an answer is worth. `addresses` are tried in turn from the first.
 
     `every` is the time between polls in µs. Danger: a registry's replica that lags, or a delta on a wrong
@@ -85,48 +85,48 @@
     """
 
     addresses: tuple[str, ...]
-    every: int
-    known: dict[tuple[str, str], Instance] = field(default_factory=dict)
-    at: int = 0  # which address
-    whole: bool = False  # something was read in full, so that a delta has a base
+    poll_interval: int
+    instances: dict[tuple[str, str], Instance] = field(default_factory=dict)
+    address_index: int = 0  # which address
+    has_base: bool = False  # something was read in full, so that a delta has a base
     polls: int = 0
-    fails: int = 0
+    failures: int = 0
 
-    def ask(self) -> tuple[str, bool]:
+    def next_request(self) -> tuple[str, bool]:
         """Give the address to ask and whether a delta will do."""
-        delta = self.whole and self.polls % FULL_EVERY != 0
+        delta = self.has_base and self.polls % POLLS_PER_FULL_READ != 0
         self.polls += 1
-        return self.addresses[self.at % len(self.addresses)], delta
+        return self.addresses[self.address_index % len(self.addresses)], delta
 
-    def next(self, now: int, draw: float) -> int:
+    def next_poll_at(self, now: int, draw: float) -> int:
         """Give when to ask next; `draw` from 0 to 1 spreads the polls, never later than `every`."""
-        return now + int(self.every * (1 - SPREAD * draw))
+        return now + int(self.poll_interval * (1 - POLL_JITTER * draw))
 
-    def full(self, instances: Iterable[Instance]) -> bool:
+    def apply_full(self, instances: Iterable[Instance]) -> bool:
         """Take a full read; true where anything changed."""
         new = {(each.app, each.id): each for each in instances}
-        changed, self.known = new != self.known or not self.whole, new
-        self.whole, self.fails = True, 0
+        changed, self.instances = new != self.instances or not self.has_base, new
+        self.has_base, self.failures = True, 0
         return changed
 
-    def delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
+    def apply_delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
         """Take changes as (action, instance) and the hash told; None where all must be read anew."""
-        new = dict(self.known)
+        new = dict(self.instances)
         for action, each in changes:
             if action == "DELETED":
                 new.pop((each.app, each.id), None)
             else:
                 new[each.app, each.id] = each
-        self.fails = 0
-        if told != hashcode(new.values()):
-            self.whole = False
+        self.failures = 0
+        if told != compute_hashcode(new.values()):
+            self.has_base = False
             return None
-        changed, self.known = new != self.known, new
+        changed, self.instances = new != self.instances, new
         return changed
 
-    def failed(self) -> None:
+    def handle_failure(self) -> None:
         """Take a try in vain: the next address is asked, in full, as replicas differ."""
-        self.fails += 1
-        if self.fails % PATIENCE == 0 and len(self.addresses) > 1:
-            self.at += 1
-            self.whole = False
+        self.failures += 1
+        if self.failures % FAILURES_BEFORE_FAILOVER == 0 and len(self.addresses) > 1:
+            self.address_index += 1
+            self.has_base = False
--- a/mintmast/decisions/messages.py
+++ b/mintmast/decisions/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from mintmast import interface as api
-from mintmast.decisions.outcomes import Evidence, Word
+from mintmast.decisions.outcomes import Evidence, HostReport
 from mintmast.interface import ListKind
 
 
@@ -23,44 +23,44 @@
     FAILED = "failed"
 
 
-class Told(msgspec.Struct, frozen=True, gc=False):
+class HostStatus(msgspec.Struct, frozen=True, gc=False):
     """A host's load and a reading of its clock (µs, -1 for none), as its replies carry them."""
 
     load: tuple[float, ...] = ()
     clock: int = -1
 
 
-NOTHING = Told()
+NO_STATUS = HostStatus()
 
 
 # Events from fronts
 
 
-class Ask(msgspec.Struct, frozen=True, gc=False):
+class ViewerRequest(msgspec.Struct, frozen=True, gc=False):
     """A front received a viewer's request for a session; the viewer waits `timeout` µs for the answer.
 
     `key` is the idempotency key that all retries of the viewer carry ("" for none), `best_rung` the highest
     rung that the viewer can use, `length` the clip's length in µs (0 if unknown or live).
     """
 
-    ask: int
+    request_id: int
     service: int
     tenant: int
     title: int
     home_cell: int
     copies: int
     best_rung: int
-    budget: int
+    timeout: int
     key: str = ""
     length: int = 0
     moved: bool = False
-    again: bool = False
+    is_retry: bool = False
 
 
-class AskGone(msgspec.Struct, frozen=True, gc=False):
+class RequestCancelled(msgspec.Struct, frozen=True, gc=False):
     """A front reports that the viewer no longer waits for the answer."""
 
-    ask: int
+    request_id: int
 
 
 class Poll(msgspec.Struct, frozen=True, gc=False):
@@ -69,16 +69,16 @@
     The player has buffered `buffer` µs of media.
     """
 
-    poll: int
+    poll_id: int
     session: int
     buffer: int
-    budget: int
+    timeout: int
 
 
-class PollGone(msgspec.Struct, frozen=True, gc=False):
+class PollCancelled(msgspec.Struct, frozen=True, gc=False):
     """A front reports that the player no longer waits for the answer to its poll."""
 
-    poll: int
+    poll_id: int
 
 
 # Events from hosts
@@ -90,10 +90,10 @@
     session: int
     attempt: int
     evidence: Evidence
-    told: Told = NOTHING
+    status: HostStatus = NO_STATUS
 
 
-class EndEnded(msgspec.Struct, frozen=True, gc=False):
+class TerminationAttemptEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter reports the end of an attempt to terminate a session.
 
     `is_confirmed` is true if the host confirmed that it no longer holds the session.
@@ -101,10 +101,10 @@
 
     session: int
     server: bytes
-    sure: bool
+    is_confirmed: bool
 
 
-class Settled(msgspec.Struct, frozen=True, gc=False):
+class ReconciliationEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter reports the end of a query, sent at `sent_at` (µs), on earlier generations' sessions.
 
     `reports` has (session, the host's report, its rung) and is empty if no answer came. `memory_since` is the
@@ -112,14 +112,14 @@
     """
 
     server: bytes
-    sent: int
-    number: int
-    since: int = -1
-    words: tuple[tuple[int, Word, int], ...] = ()
-    told: Told = NOTHING
+    sent_at: int
+    call_number: int
+    memory_since: int = -1
+    reports: tuple[tuple[int, HostReport, int], ...] = ()
+    status: HostStatus = NO_STATUS
 
 
-class Renewed(msgspec.Struct, frozen=True, gc=False):
+class RenewalEnded(msgspec.Struct, frozen=True, gc=False):
     """A host adapter reports the end of a lease renewal that it sent at `sent_at` (µs).
 
     `arrived` is false only if the renewal provably never reached the host; the host does not hold the
@@ -127,13 +127,13 @@
     """
 
     server: bytes
-    sent: int
-    number: int
+    sent_at: int
+    call_number: int
     answered: bool
     arrived: bool
     sessions: tuple[int, ...]
-    unknown: tuple[int, ...] = ()
-    told: Told = NOTHING
+    unknown_sessions: tuple[int, ...] = ()
+    status: HostStatus = NO_STATUS
 
 
 class SessionEnded(msgspec.Struct, frozen=True, gc=False):
@@ -143,7 +143,7 @@
     session: int
 
 
-class HostHello(msgspec.Struct, frozen=True, gc=False):
+class HostConnected(msgspec.Struct, frozen=True, gc=False):
     """The event stream from a host is established.
 
     `uptime` is how long the host's process has run in µs, None if not reported.
@@ -151,19 +151,19 @@
 
     server: bytes
     process: str
-    age: int | None
-    drains: bool
+    uptime: int | None
+    is_draining: bool
     clock: int = -1
 
 
-class HostTick(msgspec.Struct, frozen=True, gc=False):
+class HostHeartbeat(msgspec.Struct, frozen=True, gc=False):
     """A host's periodic sign of life, with a reading of its clock in µs."""
 
     server: bytes
     clock: int
 
 
-class HostLost(msgspec.Struct, frozen=True, gc=False):
+class HostDisconnected(msgspec.Struct, frozen=True, gc=False):
     """A host adapter reports that the event stream broke or could not be opened.
 
     `random_fraction`, from 0 to 1, is the jitter of the reconnect; `refused` says that the host refused the
@@ -171,18 +171,18 @@
     """
 
     server: bytes
-    draw: float
+    random_fraction: float
     refused: bool = False
 
 
-class HostDrain(msgspec.Struct, frozen=True, gc=False):
+class HostDrainChanged(msgspec.Struct, frozen=True, gc=False):
     """A host reports that it started or stopped draining."""
 
     server: bytes
-    drains: bool
+    is_draining: bool
 
 
-class HostNote(msgspec.Struct, frozen=True, gc=False):
+class HostMeasurement(msgspec.Struct, frozen=True, gc=False):
     """A host reports the share of a session's rate that it delivers, or its link's or uplink's utilisation.
 
     Utilisation is the requested rate divided by the capacity.
@@ -196,18 +196,18 @@
 # Events from operators, list sources and the loop
 
 
-class Drain(msgspec.Struct, frozen=True, gc=False):
+class DrainOrdered(msgspec.Struct, frozen=True, gc=False):
     """An operator orders a host to drain or revokes the order.
 
     The host should be empty in `within` µs; None means that no deadline was set.
     """
 
     server: bytes
-    on: bool
+    drain: bool
     within: int | None = None
 
 
-class ListNews(msgspec.Struct, frozen=True, gc=False):
+class ServerListUpdate(msgspec.Struct, frozen=True, gc=False):
     """A list source reports the server list, either complete or as changes."""
 
     kind: ListKind
@@ -215,7 +215,7 @@
     entries: tuple[api.ListEntry, ...] = ()
 
 
-class Due(msgspec.Struct, frozen=True, gc=False):
+class TimerFired(msgspec.Struct, frozen=True, gc=False):
     """The loop reports that the timer of a `ScheduleTimer` has expired."""
 
     token: tuple
@@ -224,28 +224,28 @@
 # Commands to fronts
 
 
-class Give(msgspec.Struct, frozen=True, gc=False):
+class AnswerRequest(msgspec.Struct, frozen=True, gc=False):
     """Answer a viewer's request; `reason` is a short text for logs and problem details.
 
     `retry_after` (µs) is when the viewer may retry. `try_elsewhere` says that no set-up was sent for the
     request and that another gateway may be able to determine the owner of its key.
     """
 
-    ask: int
+    request_id: int
     verdict: Verdict
     session: int = 0
     server: bytes = b""
     rung: int = 0
     epoch: int = 0
-    advice: int = 0
+    retry_after: int = 0
     reason: str = ""
-    elsewhere: bool = False
+    try_elsewhere: bool = False
 
 
-class Steer(msgspec.Struct, frozen=True, gc=False):
+class AnswerPoll(msgspec.Struct, frozen=True, gc=False):
     """Answer a player's poll with the host at which to continue; `is_closed`: the session has ended."""
 
-    poll: int
+    poll_id: int
     session: int = 0
     server: bytes = b""
     rung: int = 0
@@ -254,7 +254,7 @@
     service: int = 0
     best_rung: int = 0
     moved: bool = False
-    over: bool = False
+    is_closed: bool = False
 
 
 # Commands to host adapters
@@ -273,13 +273,13 @@
     rung: int
     epoch: int
     until: int
-    ask: Ask
-    number: int
+    request: ViewerRequest
+    call_number: int
     clock: int
     moved_from: int = 0
 
 
-class CallOff(msgspec.Struct, frozen=True, gc=False):
+class CancelSetUp(msgspec.Struct, frozen=True, gc=False):
     """Cancel a set-up attempt; no `SetUpEnded` need follow."""
 
     session: int
@@ -295,7 +295,7 @@
     epoch: int
 
 
-class SendEnd(msgspec.Struct, frozen=True, gc=False):
+class SendTermination(msgspec.Struct, frozen=True, gc=False):
     """Terminate a session at a host: all its epochs up to this one, including set-ups still under way.
 
     `TerminationAttemptEnded` reports the end by `until` (µs) at the latest.
@@ -307,18 +307,18 @@
     until: int
 
 
-class SendRenew(msgspec.Struct, frozen=True, gc=False):
+class SendRenewal(msgspec.Struct, frozen=True, gc=False):
     """Renew the leases of (session, epoch, rung) for `lease` µs; the rung repairs a lost `SendRung`."""
 
     server: bytes
     sessions: tuple[tuple[int, int, int], ...]
     until: int
-    number: int
+    call_number: int
     clock: int
     lease: int
 
 
-class SendSettle(msgspec.Struct, frozen=True, gc=False):
+class SendReconciliation(msgspec.Struct, frozen=True, gc=False):
     """Query the state of sessions (number, epoch) of earlier generations and take them over.
 
     `ReconciliationEnded` reports the end by `until` (µs) at the latest. A session that plays gets a lease of
@@ -329,18 +329,18 @@
     server: bytes
     sessions: tuple[tuple[int, int], ...]
     until: int
-    number: int
+    call_number: int
     clock: int
     lease: int
 
 
-class Watch(msgspec.Struct, frozen=True, gc=False):
+class WatchHost(msgspec.Struct, frozen=True, gc=False):
     """Open the event stream from a host."""
 
     server: bytes
 
 
-class Unwatch(msgspec.Struct, frozen=True, gc=False):
+class UnwatchHost(msgspec.Struct, frozen=True, gc=False):
     """Close the event stream from a host that has left the list."""
 
     server: bytes
@@ -349,37 +349,37 @@
 # Commands to list sources, the core, the loop and the log
 
 
-class AskList(msgspec.Struct, frozen=True, gc=False):
+class FetchServerList(msgspec.Struct, frozen=True, gc=False):
     """Request the complete server list; `subscribe` requests its changes as well."""
 
-    standing: bool = False
+    subscribe: bool = False
 
 
-class Named(msgspec.Struct, frozen=True, gc=False):
+class SessionNamed(msgspec.Struct, frozen=True, gc=False):
     """Register the name that an earlier generation gave to a recovered session."""
 
     session: int
     name: str
 
 
-class Ordered(msgspec.Struct, frozen=True, gc=False):
+class DrainRecorded(msgspec.Struct, frozen=True, gc=False):
     """Report that an operator's order (`DrainOrdered`) is in force.
 
     `is_durable` is false if the store could not record it.
     """
 
     server: bytes
-    good: bool
+    is_durable: bool
 
 
-class Wake(msgspec.Struct, frozen=True, gc=False):
+class ScheduleTimer(msgspec.Struct, frozen=True, gc=False):
     """Deliver `TimerExpired(token)` at `at` (µs)."""
 
     at: int
     token: tuple
 
 
-class Say(msgspec.Struct, frozen=True, gc=False):
+class LogEvent(msgspec.Struct, frozen=True, gc=False):
     """Write one line to the log."""
 
     event: str
--- a/mintmast/decisions/outcomes.py
+++ b/mintmast/decisions/outcomes.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class OutcomeRow:
     """The outcome that one kind of evidence proves, and the reason."""
 
     outcome: Outcome | None  # None: the session plays
@@ -43,46 +43,58 @@
     reason: str
 
 
-TABLE: dict[Evidence, Row] = {
-    Evidence.STARTED: Row(None, False, "the host runs the session"),
-    Evidence.FULL: Row(Outcome.FULL, True, "the reply is marked: the host checked and did not start it"),
-    Evidence.MOOT: Row(Outcome.NOT_SENT, True, "the host reports that nothing was forwarded"),
-    Evidence.FENCED: Row(Outcome.FULL, True, "the host remembers the terminated epoch and marks the reply"),
-    Evidence.HOST_ERROR: Row(
+OUTCOME_TABLE: dict[Evidence, OutcomeRow] = {
+    Evidence.STARTED: OutcomeRow(None, False, "the host runs the session"),
+    Evidence.FULL: OutcomeRow(
+        Outcome.FULL, True, "the reply is marked: the host checked and did not start it"
+    ),
+    Evidence.MOOT: OutcomeRow(Outcome.NOT_SENT, True, "the host reports that nothing was forwarded"),
+    Evidence.FENCED: OutcomeRow(
+        Outcome.FULL, True, "the host remembers the terminated epoch and marks the reply"
+    ),
+    Evidence.HOST_ERROR: OutcomeRow(
         Outcome.ERROR, False, "a reply without the mark does not show what ran before it"
     ),
-    Evidence.BAD_REPLY: Row(Outcome.ERROR, False, "an unreadable reply proves nothing"),
-    Evidence.REFUSED: Row(Outcome.CONNECT_FAILED, True, "without a connection no byte can have arrived"),
-    Evidence.NOT_CONNECTED: Row(
+    Evidence.BAD_REPLY: OutcomeRow(Outcome.ERROR, False, "an unreadable reply proves nothing"),
+    Evidence.REFUSED: OutcomeRow(
+        Outcome.CONNECT_FAILED, True, "without a connection no byte can have arrived"
+    ),
+    Evidence.NOT_CONNECTED: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "no byte is written before the connection is established"
     ),
-    Evidence.CUT_UNSENT: Row(
+    Evidence.CUT_UNSENT: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "the stream counts the bytes handed to the network: none"
     ),
-    Evidence.CUT: Row(Outcome.RESET, False, "bytes handed to the network may have arrived and run"),
-    Evidence.CUT_REPLY: Row(Outcome.RESET, False, "a host that replies has acted; the result is unknown"),
-    Evidence.SILENT: Row(Outcome.TIMEOUT, False, "it may have run, may still run, or the reply may be lost"),
-    Evidence.LATE_UNSENT: Row(
+    Evidence.CUT: OutcomeRow(Outcome.RESET, False, "bytes handed to the network may have arrived and run"),
+    Evidence.CUT_REPLY: OutcomeRow(
+        Outcome.RESET, False, "a host that replies has acted; the result is unknown"
+    ),
+    Evidence.SILENT: OutcomeRow(
+        Outcome.TIMEOUT, False, "it may have run, may still run, or the reply may be lost"
+    ),
+    Evidence.LATE_UNSENT: OutcomeRow(
         Outcome.CONNECT_FAILED, True, "the attempt timed out with nothing sent; the call is dropped"
     ),
-    Evidence.UNRECORDED: Row(
+    Evidence.UNRECORDED: OutcomeRow(
         Outcome.NOT_SENT, True, "no byte is written before the intent is durable; the host is not at fault"
     ),
-    Evidence.CALLED_OFF: Row(Outcome.CANCELLED, False, "the cancellation may arrive after the start"),
-    Evidence.CALLED_OFF_UNSENT: Row(Outcome.CONNECT_FAILED, True, "nothing was sent and nothing will be"),
-    Evidence.WITHDRAWN: Row(Outcome.NOT_SENT, True, "nothing was sent, and the host was not involved"),
+    Evidence.CALLED_OFF: OutcomeRow(Outcome.CANCELLED, False, "the cancellation may arrive after the start"),
+    Evidence.CALLED_OFF_UNSENT: OutcomeRow(
+        Outcome.CONNECT_FAILED, True, "nothing was sent and nothing will be"
+    ),
+    Evidence.WITHDRAWN: OutcomeRow(Outcome.NOT_SENT, True, "nothing was sent, and the host was not involved"),
 }
 
 
 def may_have_run(evidence: Evidence) -> bool:
     """Return whether the host may hold the session, which must then be terminated there."""
-    return not TABLE[evidence].never_ran
+    return not OUTCOME_TABLE[evidence].never_ran
 
 
 # What a host reports to a restarted gateway about the set-ups of the gateway's earlier generations
 
 
-class Word(Enum):
+class HostReport(Enum):
     """A host's report on a session that it is queried about."""
 
     PLAYS = "plays"
@@ -90,7 +102,7 @@
     NOT_HERE = "not here"  # it did not run in this process, and from now on cannot
 
 
-class Fate(Enum):
+class RecoveryOutcome(Enum):
     """What became of a set-up that an earlier generation sent."""
 
     PLAYS = "plays"
@@ -100,31 +112,37 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FateRow:
+class RecoveryRow:
     """What a host's report proves, and the reason."""
 
-    fate: Fate
+    outcome: RecoveryOutcome
     reason: str
 
 
 # (the host's report, whether its memory begins before the set-up was sent)
-FATES: dict[tuple[Word, bool], FateRow] = {
-    (Word.PLAYS, True): FateRow(Fate.PLAYS, "the host holds it, from now on for this generation"),
-    (Word.PLAYS, False): FateRow(Fate.PLAYS, "the host holds it, however short its memory"),
-    (Word.RAN, True): FateRow(Fate.RAN, "the host itself reports it"),
-    (Word.RAN, False): FateRow(Fate.RAN, "the host itself reports it"),
-    (Word.NOT_HERE, True): FateRow(
-        Fate.NEVER_RAN, "the host's memory covers the time of sending, and it rejects the set-up from now on"
+RECOVERY_TABLE: dict[tuple[HostReport, bool], RecoveryRow] = {
+    (HostReport.PLAYS, True): RecoveryRow(
+        RecoveryOutcome.PLAYS, "the host holds it, from now on for this generation"
+    ),
+    (HostReport.PLAYS, False): RecoveryRow(
+        RecoveryOutcome.PLAYS, "the host holds it, however short its memory"
+    ),
+    (HostReport.RAN, True): RecoveryRow(RecoveryOutcome.RAN, "the host itself reports it"),
+    (HostReport.RAN, False): RecoveryRow(RecoveryOutcome.RAN, "the host itself reports it"),
+    (HostReport.NOT_HERE, True): RecoveryRow(
+        RecoveryOutcome.NEVER_RAN,
+        "the host's memory covers the time of sending, and it rejects the set-up from now on",
     ),
-    (Word.NOT_HERE, False): FateRow(
-        Fate.UNKNOWN, "it may have run in an earlier process of the host, of which nothing is known"
+    (HostReport.NOT_HERE, False): RecoveryRow(
+        RecoveryOutcome.UNKNOWN,
+        "it may have run in an earlier process of the host, of which nothing is known",
     ),
 }
 
 
-def reaches(clock: int, since: int) -> bool:
+def memory_covers(sent_after: int, memory_since: int) -> bool:
     """Return whether a host's memory, from `memory_since` on, covers a set-up sent after `sent_after`.
 
     Both are readings of the host's clock in µs (-1 for none), which never goes back, even over restarts.
     """
-    return 0 <= since <= clock
+    return 0 <= memory_since <= sent_after
