--- a/mintmast/decisions/sessions/book.py
+++ b/mintmast/decisions/sessions/book.py
@@ -15,46 +15,53 @@
 from collections.abc import Callable
 
 from mintmast import interface as api
-from mintmast.decisions.gateways.claims import UNASKED, Claims
-from mintmast.decisions.gateways.records import Recovered, Written
-from mintmast.decisions.gateways.talk import AsideTold, Condemned, Learnt, PeerCall, PeerStands, Voted
+from mintmast.decisions.gateways.claims import NO_QUORUM_REASON, Claims
+from mintmast.decisions.gateways.records import RecoveredState, RecordsWritten
+from mintmast.decisions.gateways.claim_messages import (
+    ExclusionsAcknowledged,
+    ProcessDisqualified,
+    LearnReply,
+    PeerCall,
+    PeerStatusChanged,
+    VoteReceived,
+)
 from mintmast.decisions.messages import (
-    Ask,
-    AskGone,
-    CallOff,
+    ViewerRequest,
+    RequestCancelled,
+    CancelSetUp,
     Command,
-    Drain,
-    Due,
-    EndEnded,
-    Give,
-    HostDrain,
-    HostHello,
-    HostLost,
-    HostNote,
-    HostTick,
-    ListNews,
+    DrainOrdered,
+    TimerFired,
+    TerminationAttemptEnded,
+    AnswerRequest,
+    HostDrainChanged,
+    HostConnected,
+    HostDisconnected,
+    HostMeasurement,
+    HostHeartbeat,
+    ServerListUpdate,
     Poll,
-    PollGone,
-    Renewed,
-    Say,
+    PollCancelled,
+    RenewalEnded,
+    LogEvent,
     SessionEnded,
-    Settled,
+    ReconciliationEnded,
     SetUpEnded,
     Verdict,
-    Wake,
+    ScheduleTimer,
 )
-from mintmast.decisions.outcomes import Evidence, Row
+from mintmast.decisions.outcomes import Evidence, OutcomeRow
 from mintmast.decisions.sessions import moves
-from mintmast.decisions.sessions.acts import Acts
-from mintmast.decisions.sessions.asks import Asks
-from mintmast.decisions.sessions.budget import Budget
-from mintmast.decisions.sessions.ends import Ends
+from mintmast.decisions.sessions.actions import ActionExecutor
+from mintmast.decisions.sessions.requests import PendingRequests
+from mintmast.decisions.sessions.budget import RetryBudget
+from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.decisions.sessions.fleet import Fleet
 from mintmast.decisions.sessions.intents import Catalogue, Intents
 from mintmast.decisions.sessions.keys import Keys
 from mintmast.decisions.sessions.leases import Leases
-from mintmast.decisions.sessions.moving import Moves
-from mintmast.decisions.sessions.orders import Orders
+from mintmast.decisions.sessions.active_moves import ActiveMoves
+from mintmast.decisions.sessions.orders import OperatorOrders
 from mintmast.decisions.sessions.recovery import Recovery
 from mintmast.decisions.sessions.sessions import Session, Sessions, Signal, Stage
 from mintmast.decisions.sessions.setups import SetUps
@@ -62,8 +69,8 @@
 
 # µs after a session's deadline at which the book itself answers if no end of the attempt was reported. A bug
 # in the network code must not cost a viewer the answer, and the adapter's own timer must expire first
-BACKSTOP = 5_000
-NO_NAMES = Catalogue()
+ANSWER_BACKSTOP_US = 5_000
+EMPTY_CATALOGUE = Catalogue()
 
 
 class SessionBook:
@@ -75,31 +82,44 @@
     def __init__(
         self,
         settings: api.Settings,
-        decide: Callable[[int, api.Event], list[api.Action]],
-        lease: int,
+        handle_module_event: Callable[[int, api.Event], list[api.Action]],
+        lease_length: int,
         epoch_base: int = 0,
-        table: dict[Evidence, Row] | None = None,
+        outcome_table: dict[Evidence, OutcomeRow] | None = None,
         gateway: str = "",
-        start: int = 0,
+        generation: int = 0,
         members: tuple[str, ...] = (),
-        catalogue: Catalogue = NO_NAMES,
+        catalogue: Catalogue = EMPTY_CATALOGUE,
     ) -> None:
         self.settings = settings
-        self._out: list[Command] = []
+        self._commands: list[Command] = []
         self.sessions, self.keys = Sessions(), Keys()
-        self.asks = Asks(self._emit)
-        self.leases, self.ends = Leases(lease, self._emit), Ends(lease, self._emit)
-        self.claims = Claims(gateway, start, members, self._emit, self._claimed)
-        self.keeper = self.claims.part.keeper
-        self.intents = Intents(self.keeper, self.claims, catalogue, gateway, start)
+        self.pending_requests = PendingRequests(self._emit)
+        self.leases, self.terminations = (
+            Leases(lease_length, self._emit),
+            Terminations(lease_length, self._emit),
+        )
+        self.claims = Claims(gateway, generation, members, self._emit, self._handle_claim_decided)
+        self.keeper = self.claims.witness_service.record_writer
+        self.intents = Intents(self.keeper, self.claims, catalogue, gateway, generation)
         self.set_ups = SetUps(
-            self.leases, self.ends, self._emit, epoch_base, table, self.intents.before, self._set_up_ended
+            self.leases,
+            self.terminations,
+            self._emit,
+            epoch_base,
+            outcome_table,
+            self.intents.record_set_up,
+            self._handle_set_up_ended,
+        )
+        self.retry_budget = RetryBudget(settings.budget)
+        self.moves = ActiveMoves(
+            settings, self, self.sessions, self.leases, self.terminations, self.retry_budget, self._emit
+        )
+        self.actions = ActionExecutor(
+            handle_module_event, self, self.sessions, self.set_ups, self.moves, self._emit
         )
-        self.budget = Budget(settings.budget)
-        self.moves = Moves(settings, self, self.sessions, self.leases, self.ends, self.budget, self._emit)
-        self.acts = Acts(decide, self, self.sessions, self.set_ups, self.moves, self._emit)
         self.fleet = Fleet(self, self.sessions, self.leases, self.moves, self._emit)
-        self.watch = self.fleet.watch
+        self.host_watch = self.fleet.watch
         self.recovery = Recovery(
             self,
             settings,
@@ -111,61 +131,63 @@
             self.intents,
             self._emit,
         )
-        self.orders = Orders(self.fleet, self.keeper, self._emit)
+        self.orders = OperatorOrders(self.fleet, self.keeper, self._emit)
         self.handlers: dict[type, Callable] = {
-            Ask: self._ask,
-            AskGone: self._ask_gone,
-            Poll: lambda now, e: self.moves.poll(now, e, self.watch.to_leave),
-            PollGone: lambda now, e: self.moves.poll_gone(e.poll),
-            SetUpEnded: self._set_up_ended,
-            EndEnded: self._end_ended,
-            Renewed: self._renewed,
-            SessionEnded: self._session_ended,
-            HostHello: self.fleet.hello,
-            HostTick: lambda now, e: self.leases.heard(e.server, e.clock, now, None),
-            HostLost: self.fleet.lost,
-            HostDrain: self.fleet.host_drains,
-            HostNote: self.fleet.note,
-            PeerCall: lambda now, e: self.claims.part.called(now, e),
-            Voted: lambda now, e: self.claims.voted(now, e),
-            Learnt: lambda now, e: self.claims.part.learnt(now, e),
-            AsideTold: lambda now, e: self.claims.part.asided(now, e),
-            PeerStands: self._stands,
-            Condemned: lambda now, e: self.claims.part.condemn(now, e),
-            Written: lambda now, e: self.keeper.written(now, e),
-            Settled: lambda now, e: self.recovery.settled(now, e),
-            Drain: self.orders.drain,
-            ListNews: self._news,
-            Due: self._due,
+            ViewerRequest: self._handle_request,
+            RequestCancelled: self._handle_request_cancelled,
+            Poll: lambda now, e: self.moves.handle_poll(now, e, self.host_watch.should_vacate),
+            PollCancelled: lambda now, e: self.moves.cancel_poll(e.poll_id),
+            SetUpEnded: self._handle_set_up_ended,
+            TerminationAttemptEnded: self._handle_termination_attempt_ended,
+            RenewalEnded: self._handle_renewal_ended,
+            SessionEnded: self._handle_session_ended,
+            HostConnected: self.fleet.handle_connected,
+            HostHeartbeat: lambda now, e: self.leases.record_reading(e.server, e.clock, now, None),
+            HostDisconnected: self.fleet.handle_disconnected,
+            HostDrainChanged: self.fleet.handle_drain_changed,
+            HostMeasurement: self.fleet.handle_measurement,
+            PeerCall: lambda now, e: self.claims.witness_service.handle_call(now, e),
+            VoteReceived: lambda now, e: self.claims.handle_vote(now, e),
+            LearnReply: lambda now, e: self.claims.witness_service.handle_learn_reply(now, e),
+            ExclusionsAcknowledged: lambda now, e: self.claims.witness_service.handle_exclusions_acknowledged(
+                now, e
+            ),
+            PeerStatusChanged: self._handle_peer_state,
+            ProcessDisqualified: lambda now, e: self.claims.witness_service.disqualify(now, e),
+            RecordsWritten: lambda now, e: self.keeper.handle_written(now, e),
+            ReconciliationEnded: lambda now, e: self.recovery.handle_reconciliation_ended(now, e),
+            DrainOrdered: self.orders.handle_drain_order,
+            ServerListUpdate: self._handle_list_update,
+            TimerFired: self._handle_timer,
         }
 
-    def start(self, now: int, kept: Recovered | None = None) -> list[Command]:
+    def start(self, now: int, recovered: RecoveredState | None = None) -> list[Command]:
         """Start, with the records of earlier generations if there is a store; must be the first call."""
-        self._out = []
-        self.claims.part.begin_learning(now, kept)
-        if kept is not None:
-            self.recovery.begin(now, kept)
-            self.orders.begin(now, kept)
-        self.feed(now, api.Started())
-        return self._out
-
-    def take(self, now: int, event: object) -> list[Command]:
+        self._commands = []
+        self.claims.witness_service.start(now, recovered)
+        if recovered is not None:
+            self.recovery.restore(now, recovered)
+            self.orders.restore(now, recovered)
+        self.dispatch(now, api.Started())
+        return self._commands
+
+    def handle(self, now: int, event: object) -> list[Command]:
         """Process one event at time `now` and return the resulting commands."""
-        self._out = []
+        self._commands = []
         self.handlers[type(event)](now, event)
-        return self._out
+        return self._commands
 
-    def adopt(self, settings: api.Settings, catalogue: Catalogue) -> None:
+    def apply_settings(self, settings: api.Settings, catalogue: Catalogue) -> None:
         """Apply new settings between two events; class, tenant and title numbers keep their meaning."""
         self.settings = settings
-        self.intents.adopt(catalogue)
-        self.moves.adopt(settings)
-        self.recovery.adopt(settings, catalogue)
+        self.intents.use_catalogue(catalogue)
+        self.moves.apply_settings(settings)
+        self.recovery.apply_settings(settings, catalogue)
 
-    def holds(self, key: str, title: int) -> bool:
+    def has_session(self, key: str, title: int) -> bool:
         """Return whether a session of this title is being set up or plays for a key."""
         session = self.sessions.get(self.keys.holder(key)) if key else None
-        return session is not None and session.ask.title == title
+        return session is not None and session.request.title == title
 
     @property
     def held(self) -> int:
@@ -173,265 +195,296 @@
         return len(self.sessions.by_number)
 
     def _emit(self, command: Command) -> None:
-        self._out.append(command)
+        self._commands.append(command)
 
     # Viewers
 
-    def _ask(self, now: int, ask: Ask) -> None:
-        session = self.sessions.get(self.keys.holder(ask.key)) if ask.key else None
-        if session is not None and session.ask.title == ask.title and session.ask.service == ask.service:
-            if session.playing:
-                self.asks.give(ask.ask, session, Verdict.PLAYS)
+    def _handle_request(self, now: int, request: ViewerRequest) -> None:
+        session = self.sessions.get(self.keys.holder(request.key)) if request.key else None
+        if (
+            session is not None
+            and session.request.title == request.title
+            and session.request.service == request.service
+        ):
+            if session.is_playing:
+                self.pending_requests.answer(request.request_id, session, Verdict.PLAYS)
                 return
-            under_way = session.out or self.claims.pending(session.number)
-            found = self.recovery.holds(session.number)
-            if under_way and (session.waiting or self.moves.came(session.number) or found):
-                self.asks.wait(now, session, ask)
+            under_way = session.has_attempt_out or self.claims.is_pending(session.number)
+            found = self.recovery.is_unsettled(session.number)
+            if under_way and (session.waiting_requests or self.moves.is_move_target(session.number) or found):
+                self.pending_requests.add(now, session, request)
                 return
-        if self.keys.spent(now, ask.key) or (session is not None and not session.free):
+        if self.keys.is_used(now, request.key) or (session is not None and not session.is_free):
             # the paid session may have run, or runs for another title: a second set-up would charge twice
-            self._emit(Give(ask.ask, Verdict.FAILED, reason="this key has been spent"))
+            self._emit(AnswerRequest(request.request_id, Verdict.FAILED, reason="this key has been spent"))
             return
-        session = self.sessions.open(ask, now + ask.budget, self.settings.classes[ask.service].effect)
-        self.keys.take(ask.key, session.number)
-        self.asks.wait(now, session, ask)
-        self.budget.asked(now)
-        self._emit(Wake(session.deadline + BACKSTOP, ("late", session.number)))
-        if ask.key and not session.free and self.claims.on:
+        session = self.sessions.open(
+            request, now + request.timeout, self.settings.classes[request.service].effect
+        )
+        self.keys.hold(request.key, session.number)
+        self.pending_requests.add(now, session, request)
+        self.retry_budget.record_request(now)
+        self._emit(ScheduleTimer(session.deadline + ANSWER_BACKSTOP_US, ("late", session.number)))
+        if request.key and not session.is_free and self.claims.enabled:
             # at most half of the viewer's timeout, which leaves the other half for the set-up
-            self.claims.begin(now, session.number, ask.key, ask.length, now + ask.budget // 2)
+            self.claims.claim_key(
+                now, session.number, request.key, request.length, now + request.timeout // 2
+            )
         else:
-            self._placed(now, session)
+            self._place_or_fail(now, session)
 
-    def _claimed(self, now: int, number: int, why_not: str) -> None:
+    def _handle_claim_decided(self, now: int, number: int, failure: str) -> None:
         """Place a session whose key claim succeeded, or close it; `failure` is the reason, "" for success."""
         session = self.sessions.get(number)
         if session is None:
             return
-        if why_not == UNASKED:  # the key's owner cannot be determined here, but perhaps at another gateway
-            self.asks.give_all(session, Verdict.FAILED, reason=why_not, elsewhere=True)
-        if why_not or not session.waiting or now >= session.deadline:
-            self.close(now, session, Verdict.FAILED, reason=why_not or "time is up")
+        if (
+            failure == NO_QUORUM_REASON
+        ):  # the key's owner cannot be determined here, but perhaps at another gateway
+            self.pending_requests.answer_all(session, Verdict.FAILED, reason=failure, try_elsewhere=True)
+        if failure or not session.waiting_requests or now >= session.deadline:
+            self.close(now, session, Verdict.FAILED, reason=failure or "time is up")
         else:
-            self._placed(now, session)
-
-    def _placed(self, now: int, session: Session) -> None:
-        self.place(now, session)
-        if session.waiting and not session.out:  # the module must have sent or closed it by rule 1
-            self._emit(Say("unanswered", (("session", session.number),)))
+            self._place_or_fail(now, session)
+
+    def _place_or_fail(self, now: int, session: Session) -> None:
+        self.request_placement(now, session)
+        if (
+            session.waiting_requests and not session.has_attempt_out
+        ):  # the module must have sent or closed it by rule 1
+            self._emit(LogEvent("unanswered", (("session", session.number),)))
             self.close(now, session, Verdict.FAILED, reason="undecided")
 
-    def place(self, now: int, session: Session) -> None:
+    def request_placement(self, now: int, session: Session) -> None:
         """Request a host for the session from the module."""
-        ask = session.ask
+        viewer_request = session.request
         request = api.SessionRequest(
             session.number,
-            ask.service,
-            ask.tenant,
-            ask.title,
+            viewer_request.service,
+            viewer_request.tenant,
+            viewer_request.title,
             session.deadline - now,
-            ask.home_cell,
-            ask.copies,
-            ask.best_rung,
-            ask.length,
-            ask.moved,
-            ask.again,
+            viewer_request.home_cell,
+            viewer_request.copies,
+            viewer_request.best_rung,
+            viewer_request.length,
+            viewer_request.moved,
+            viewer_request.is_retry,
         )
-        self.feed(now, request)
+        self.dispatch(now, request)
 
-    def _ask_gone(self, now: int, event: AskGone) -> None:
-        self._unwatched(now, self.asks.gone(event.ask))
+    def _handle_request_cancelled(self, now: int, event: RequestCancelled) -> None:
+        self._cancel_unwatched(now, self.pending_requests.cancel(event.request_id))
 
-    def _unwatched(self, now: int, session: Session | None) -> None:
-        if session is not None and self.recovery.holds(session.number):
+    def _cancel_unwatched(self, now: int, session: Session | None) -> None:
+        if session is not None and self.recovery.is_unsettled(session.number):
             return  # its host is queried whether or not a viewer waits
-        if session is not None and session.out:
-            self.feed(now, api.ViewerGone(session.number))
-        elif session is not None and self.claims.pending(session.number):
+        if session is not None and session.has_attempt_out:
+            self.dispatch(now, api.ViewerGone(session.number))
+        elif session is not None and self.claims.is_pending(session.number):
             self.close(now, session)
 
     def close(
-        self, now: int, session: Session, verdict: Verdict | None = None, advice: int = 0, reason: str = ""
+        self,
+        now: int,
+        session: Session,
+        verdict: Verdict | None = None,
+        retry_after: int = 0,
+        reason: str = "",
     ) -> None:
         """Close a session: answer its requests, remove it and retain a key that must not run again."""
-        if session.out:  # no attempt may stay at a host without a termination
+        if session.has_attempt_out:  # no attempt may stay at a host without a termination
             self.set_ups.give_up(now, session, Signal.CALLED_OFF)
         if session.stage is not Stage.OVER:
-            session.take(Signal.ENDED if session.playing else Signal.CLOSED)
+            session.apply_signal(Signal.ENDED if session.is_playing else Signal.CLOSED)
         if verdict is not None:
-            self.asks.give_all(session, verdict, advice, reason)
-        self.sessions.forget(session)
-        self.keys.release(now, session.ask.key, session.number, session.ran and not session.free)
-        self.claims.settle(now, session.number, session.ran)
-        self.intents.over(now, session.number, session.ran)
-        self.moves.closed(now, session)
+            self.pending_requests.answer_all(session, verdict, retry_after, reason)
+        self.sessions.remove(session)
+        self.keys.release(
+            now, session.request.key, session.number, session.may_have_run and not session.is_free
+        )
+        self.claims.finish_session(now, session.number, session.may_have_run)
+        self.intents.record_end(now, session.number, session.may_have_run)
+        self.moves.handle_closed(now, session)
 
     # The module
 
-    def feed(self, now: int, event: api.Event) -> None:
+    def dispatch(self, now: int, event: api.Event) -> None:
         """Pass an event to the module and execute its actions."""
-        self.acts.feed(now, event)
+        self.actions.dispatch(now, event)
 
     # Attempts
 
-    def send(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
+    def send_set_up(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
         """Send a session's set-up to the host that the module has chosen."""
-        if session.stage is Stage.ASKED and self.moves.hold(session.number, server, timeout_at):
+        if session.stage is Stage.ASKED and self.moves.hold_place(session.number, server, timeout_at):
             return
         if session.attempts:
-            self.budget.spend(now)
+            self.retry_budget.record_attempt(now)
         self.set_ups.send(now, session, server, timeout_at, self.moves.moved_from(session.number))
 
     def send_moved(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
         """Send a moved session's set-up to the host where a place was held for it."""
-        self.keys.take(session.ask.key, session.number)
-        self._emit(Wake(session.deadline + BACKSTOP, ("late", session.number)))
+        self.keys.hold(session.request.key, session.number)
+        self._emit(ScheduleTimer(session.deadline + ANSWER_BACKSTOP_US, ("late", session.number)))
         self.set_ups.send(now, session, server, timeout_at, moved_from)
 
-    def _set_up_ended(self, now: int, event: SetUpEnded) -> None:
+    def _handle_set_up_ended(self, now: int, event: SetUpEnded) -> None:
         session = self.sessions.get(event.session)
         if event.evidence is Evidence.UNRECORDED and session is not None:
-            session.why = "records cannot be written"
-            self._emit(Say("unrecorded", (("session", session.number),)))
-        row = self.set_ups.ended(now, session, event)
+            session.refusal_reason = "records cannot be written"
+            self._emit(LogEvent("unrecorded", (("session", session.number),)))
+        row = self.set_ups.record_end(now, session, event)
         if row is None or session is None or session.server is None:
             return
-        server, took, load = session.server, now - session.sent_at, event.told.load
-        unwatched = not session.waiting and not self.moves.came(session.number)
+        server, duration, load = session.server, now - session.sent_at, event.status.load
+        unwatched = not session.waiting_requests and not self.moves.is_move_target(session.number)
         if row.outcome is None and unwatched:
             self.set_ups.give_up(now, session, Signal.UNWATCHED)
             self.close(now, session)
-            served = api.AttemptEnd(event.session, event.attempt, server, Outcome.SERVED, took, True, load)
-            self.feed(now, served)
+            attempt_end = api.AttemptEnd(
+                event.session, event.attempt, server, Outcome.SERVED, duration, True, load
+            )
+            self.dispatch(now, attempt_end)
         elif row.outcome is None:
-            self._started(now, session, server, took, load)
+            self._handle_started(now, session, server, duration, load)
         else:
-            end = api.AttemptEnd(event.session, event.attempt, server, row.outcome, took, unwatched, load)
-            self.feed(now, end)
-            if self.sessions.get(event.session) is not None and not session.out:
+            attempt_end = api.AttemptEnd(
+                event.session, event.attempt, server, row.outcome, duration, unwatched, load
+            )
+            self.dispatch(now, attempt_end)
+            if self.sessions.get(event.session) is not None and not session.has_attempt_out:
                 self.close(now, session, Verdict.FAILED, reason="over")
 
-    def _started(self, now: int, session: Session, server: bytes, took: int, load: tuple[float, ...]) -> None:
+    def _handle_started(
+        self, now: int, session: Session, server: bytes, duration: int, load: tuple[float, ...]
+    ) -> None:
         number = session.number
-        self._plays(now, session, server)
-        self.feed(now, api.Playing(number, session.attempts - 1, server, took))
-        self.moves.arrived(now, number)
+        self._mark_playing(now, session, server)
+        self.dispatch(now, api.Playing(number, session.attempts - 1, server, duration))
+        self.moves.handle_playing(now, number)
         for value, name in zip(load, self.settings.load_fields, strict=False):
             kind = {"x0": api.NoteKind.LINK, "x1": api.NoteKind.UPLINK}.get(name)
             if kind is not None:
-                self.feed(now, api.Note(number, server, kind, value))
+                self.dispatch(now, api.Note(number, server, kind, value))
 
-    def _plays(self, now: int, session: Session, server: bytes) -> None:
-        session.take(Signal.STARTED)
-        session.started = session.started or now
-        self.sessions.plays(session, server)
-        self.leases.started(now, server, session)
-        self.asks.give_all(session, Verdict.PLAYS)
+    def _mark_playing(self, now: int, session: Session, server: bytes) -> None:
+        session.apply_signal(Signal.STARTED)
+        session.first_played_at = session.first_played_at or now
+        self.sessions.add_playing(session, server)
+        self.leases.record_started(now, server, session)
+        self.pending_requests.answer_all(session, Verdict.PLAYS)
 
-    def settled(self, now: int, session: Session) -> None:
+    def resume_session(self, now: int, session: Session) -> None:
         """Resume a session of an earlier generation that still plays and answer its pending requests."""
-        self._plays(now, session, session.server or b"")
+        self._mark_playing(now, session, session.server or b"")
 
-    def unwanted(self, now: int, session: Session) -> None:
+    def end_unwatched(self, now: int, session: Session) -> None:
         """Terminate a session of an earlier generation that still plays but has no viewer."""
         self.set_ups.give_up(now, session, Signal.UNWATCHED)
         self.close(now, session)
         server, number = session.server or b"", session.number
-        self.feed(now, api.AttemptEnd(number, 0, server, Outcome.CANCELLED, 0, True))
+        self.dispatch(now, api.AttemptEnd(number, 0, server, Outcome.CANCELLED, 0, True))
 
-    def ended(self, now: int, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+    def record_end(self, now: int, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
         """Record that a playing session has ended at its host."""
         server, attempt = session.server or b"", session.attempts - 1
         self.close(now, session)
-        self.feed(now, api.AttemptEnd(session.number, attempt, server, outcome, 0, True, load))
+        self.dispatch(now, api.AttemptEnd(session.number, attempt, server, outcome, 0, True, load))
         # RESET: the host's process is gone, which is as certain an end as a report by the host
         died = outcome is Outcome.RESET
-        self.moves.left(now, session.number, moves.Signal.OLD_DIED if died else moves.Signal.LEFT)
+        self.moves.handle_session_over(
+            now, session.number, moves.Signal.OLD_DIED if died else moves.Signal.LEFT
+        )
 
     # Hosts, operators, other gateways
 
-    def _news(self, now: int, event: ListNews) -> None:
-        self.fleet.news(now, event)
+    def _handle_list_update(self, now: int, event: ServerListUpdate) -> None:
+        self.fleet.handle_list_update(now, event)
         if event.entries:
-            self.recovery.hosts_known(now)
+            self.recovery.handle_hosts_known(now)
 
-    def _stands(self, now: int, event: PeerStands) -> None:
-        self.claims.part.stands(now, event)
-        self.orders.stands(now, event)
+    def _handle_peer_state(self, now: int, event: PeerStatusChanged) -> None:
+        self.claims.witness_service.handle_peer_status(now, event)
+        self.orders.handle_peer_state(now, event)
 
     # Terminations and leases
 
-    def _end_ended(self, now: int, event: EndEnded) -> None:
-        if not self.ends.awaits(event):
+    def _handle_termination_attempt_ended(self, now: int, event: TerminationAttemptEnded) -> None:
+        if not self.terminations.is_pending(event):
             return
         session = self.sessions.get(event.session)
-        if event.sure and session is not None and session.server == event.server:
+        if event.is_confirmed and session is not None and session.server == event.server:
             self.moves.signal(now, event.session, moves.Signal.ENDED)
-        self.ends.tried(now, event)
+        self.terminations.handle_attempt_ended(now, event)
 
-    def _renewed(self, now: int, event: Renewed) -> None:
-        at = self.sessions.at(event.server)
-        unknown = set(event.unknown) if event.answered else set()
-        load = event.told.load
+    def _handle_renewal_ended(self, now: int, event: RenewalEnded) -> None:
+        playing = self.sessions.playing_at(event.server)
+        unknown = set(event.unknown_sessions) if event.answered else set()
+        load = event.status.load
         if event.answered:
-            self.leases.heard(event.server, event.told.clock, now, event.sent)
+            self.leases.record_reading(event.server, event.status.clock, now, event.sent_at)
         for number in event.sessions:
-            session = at.get(number)
+            session = playing.get(number)
             if session is None:
                 continue
             if number in unknown:
-                self.ended(now, session, Outcome.SERVED, load)
+                self.record_end(now, session, Outcome.SERVED, load)
                 load = ()
                 continue
-            self.leases.renewed(session, event)
-            self.moves.renewed(now, session, event)
+            self.leases.record_renewal(session, event)
+            self.moves.handle_renewal(now, session, event)
 
-    def _renew(self, now: int, server: bytes) -> None:
-        if not self.sessions.at(server):
-            self.leases.rest(server)
+    def _renew_leases(self, now: int, server: bytes) -> None:
+        if not self.sessions.playing_at(server):
+            self.leases.stop_renewing(server)
             return
-        staying = [each for each in self.sessions.at(server).values() if not self.moves.moving(each.number)]
-        for session in self.leases.over(now, staying):
-            self.ended(now, session, Outcome.RESET)
-        here = self.sessions.at(server).values()
-        self.leases.renew_all(now, server, [each for each in here if not self.moves.moving(each.number)])
-
-    def _due(self, now: int, event: Due) -> None:
+        staying = [
+            each
+            for each in self.sessions.playing_at(server).values()
+            if not self.moves.is_moving(each.number)
+        ]
+        for session in self.leases.expired(now, staying):
+            self.record_end(now, session, Outcome.RESET)
+        here = self.sessions.playing_at(server).values()
+        self.leases.renew_all(now, server, [each for each in here if not self.moves.is_moving(each.number)])
+
+    def _handle_timer(self, now: int, event: TimerFired) -> None:
         match event.token:
             case ("module", token):
-                self.feed(now, api.TimerFired(token))
+                self.dispatch(now, api.TimerFired(token))
             case ("late", number):
                 session = self.sessions.get(number)
-                if session is not None and session.out:
-                    seen = Evidence.UNRECORDED if session.held_back else Evidence.SILENT
-                    self._emit(CallOff(number, session.attempts - 1))
-                    self._set_up_ended(now, SetUpEnded(number, session.attempts - 1, seen))
-                elif session is not None and self.claims.pending(number):
+                if session is not None and session.has_attempt_out:
+                    evidence = Evidence.UNRECORDED if session.awaits_record else Evidence.SILENT
+                    self._emit(CancelSetUp(number, session.attempts - 1))
+                    self._handle_set_up_ended(now, SetUpEnded(number, session.attempts - 1, evidence))
+                elif session is not None and self.claims.is_pending(number):
                     self.close(now, session, Verdict.FAILED, reason="time is up")
-            case ("ask", ask):
-                self._unwatched(now, self.asks.late(ask))
+            case ("ask", request_id):
+                self._cancel_unwatched(now, self.pending_requests.expire(request_id))
             case ("claim", number):
-                self.claims.again(now, number)
+                self.claims.retry(now, number)
             case ("learn",):
-                self.claims.part.learn(now)
+                self.claims.witness_service.handle_review_timer(now)
             case ("settle", server):
-                self.recovery.again(now, server)
+                self.recovery.retry_host(now, server)
             case ("watches",):
-                self.fleet.handover.more_lines(now)
+                self.fleet.handover.open_pending_watches(now)
             case ("entries",):
-                self.fleet.slice_due(now)
+                self.fleet.send_next_slice(now)
             case ("renew", server):
-                self._renew(now, server)
+                self._renew_leases(now, server)
             case ("move", number, signal):
                 self.moves.signal(now, number, signal)
-            case ("poll", poll):
-                self.moves.poll_due(poll)
+            case ("poll", poll_id):
+                self.moves.expire_poll(poll_id)
             case ("watch", server):
-                self.fleet.handover.line_again(server)
+                self.fleet.handover.reopen_watch(server)
             case ("end", number, server):
-                self.ends.again(now, number, server)
+                self.terminations.retry(now, number, server)
 
-    def _session_ended(self, now: int, event: SessionEnded) -> None:
-        session = self.sessions.at(event.server).get(event.session)
+    def _handle_session_ended(self, now: int, event: SessionEnded) -> None:
+        session = self.sessions.playing_at(event.server).get(event.session)
         if session is not None:
-            self.ended(now, session, Outcome.SERVED)
+            self.record_end(now, session, Outcome.SERVED)
--- a/mintmast/decisions/sessions/budget.py
+++ b/mintmast/decisions/sessions/budget.py
@@ -18,30 +18,30 @@
 from mintmast.interface import AttemptBudget
 
 
-class Budget:
+class RetryBudget:
     """Counts further attempts and viewers' requests in the last window; without a rule allows everything."""
 
     def __init__(self, rule: AttemptBudget | None) -> None:
         self._rule = rule
-        self._spent: deque[int] = deque()
-        self._asked: deque[int] = deque()
+        self._attempt_times: deque[int] = deque()
+        self._request_times: deque[int] = deque()
 
-    def asked(self, now: int) -> None:
+    def record_request(self, now: int) -> None:
         """Count a request made by a viewer, never one that the gateway makes on the viewer's behalf."""
         if self._rule is not None:
-            self._asked.append(now)
+            self._request_times.append(now)
 
-    def spend(self, now: int) -> None:
+    def record_attempt(self, now: int) -> None:
         """Count a further attempt."""
         if self._rule is not None:
-            self._spent.append(now)
+            self._attempt_times.append(now)
 
     def allows(self, now: int) -> bool:
         """Return whether one more further attempt is within the budget."""
         rule = self._rule
         if rule is None:
             return True
-        for times in (self._spent, self._asked):
+        for times in (self._attempt_times, self._request_times):
             while times and times[0] <= now - rule.span:
                 times.popleft()
-        return len(self._spent) + 1 <= rule.free + rule.ratio * len(self._asked)
+        return len(self._attempt_times) + 1 <= rule.free + rule.ratio * len(self._request_times)
--- a/mintmast/decisions/sessions/intents.py
+++ b/mintmast/decisions/sessions/intents.py
@@ -19,13 +19,13 @@
 import msgspec
 
 from mintmast.decisions.gateways.claims import Claims
-from mintmast.decisions.gateways.records import Intent, Keeper, Kind
-from mintmast.decisions.gateways.witness import KEPT, LONGEST, digest_of
-from mintmast.decisions.messages import Ask
-from mintmast.decisions.sessions.sessions import Session, name_of
+from mintmast.decisions.gateways.records import Intent, RecordWriter, RecordKind
+from mintmast.decisions.gateways.witness import RECORD_RETENTION_US, MAX_SESSION_US, hash_key
+from mintmast.decisions.messages import ViewerRequest
+from mintmast.decisions.sessions.sessions import Session, format_session_name
 
 # Expired intents removed with each new one, at most; they are written, and so expire, one by one
-SWEPT_AT_ONCE = 4
+MAX_REMOVED_PER_WRITE = 4
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,13 +39,17 @@
     tenants: tuple[str, ...] = ()
     titles: tuple[str, ...] = ()
 
-    def names(self, ask: Ask) -> tuple[str, str, str]:
+    def names_of(self, request: ViewerRequest) -> tuple[str, str, str]:
         """Return the names of a request's class, tenant and title; "" for each that has none."""
-        numbered = (self.classes, ask.service), (self.tenants, ask.tenant), (self.titles, ask.title)
-        told = [names[place] if place < len(names) else "" for names, place in numbered]
-        return told[0], told[1], told[2]
+        numbered = (
+            (self.classes, request.service),
+            (self.tenants, request.tenant),
+            (self.titles, request.title),
+        )
+        found = [names[index] if index < len(names) else "" for names, index in numbered]
+        return found[0], found[1], found[2]
 
-    def numbers(self, intent: Intent) -> tuple[int, int, int] | None:
+    def numbers_of(self, intent: Intent) -> tuple[int, int, int] | None:
         """Return the current numbers of a record's names; None if the settings no longer have one of them."""
         try:
             tenant = self.tenants.index(intent.tenant) if intent.tenant else 0
@@ -58,100 +62,102 @@
     """The intents of one gateway; `gateway` and `generation` identify the run of its process."""
 
     def __init__(
-        self, keeper: Keeper, claims: Claims, catalogue: Catalogue, gateway: str, start: int
+        self, keeper: RecordWriter, claims: Claims, catalogue: Catalogue, gateway: str, generation: int
     ) -> None:
         self._keeper, self._claims, self._catalogue = keeper, claims, catalogue
-        self._gateway, self._start = gateway, start
-        self._written: dict[int, tuple[str, Intent]] = {}  # by session: digest and record
-        self._ends: deque[tuple[int, str]] = deque()  # (running time in µs at expiry, digest)
-        self._until: dict[str, int] = {}
+        self._gateway, self._generation = gateway, generation
+        self._records: dict[int, tuple[str, Intent]] = {}  # by session: digest and record
+        self._expiries: deque[tuple[int, str]] = deque()  # (running time in µs at expiry, digest)
+        self._kept_until: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._until)
+        return len(self._kept_until)
 
-    def adopt(self, catalogue: Catalogue) -> None:
+    def use_catalogue(self, catalogue: Catalogue) -> None:
         """Use these names for the records that are written from now on."""
         self._catalogue = catalogue
 
-    def before(self, now: int, session: Session, clock: int, then: Callable[[int, bool], None]) -> None:
+    def record_set_up(
+        self, now: int, session: Session, clock_reading: int, on_recorded: Callable[[int, bool], None]
+    ) -> None:
         """Record that a session's set-up is about to be sent to its host.
 
         Calls `on_recorded(now, is_durable)` once: the set-up may be sent only if `is_durable` is true.
         `clock_reading` is the last reading of the host's clock (µs, -1 for none).
         """
-        ask = session.ask
-        if not self._keeper.on or session.server is None or not (ask.key or session.free):
-            then(now, True)
+        request = session.request
+        if not self._keeper.enabled or session.server is None or not (request.key or session.is_free):
+            on_recorded(now, True)
             return
-        name = name_of(self._gateway, self._start, session.number)
-        service, tenant, title = self._catalogue.names(ask)
-        owner, number = self._claims.owned(session.number)
-        until = self._keeper.ran(now) + (ask.length or LONGEST) + KEPT
+        name = format_session_name(self._gateway, self._generation, session.number)
+        service, tenant, title = self._catalogue.names_of(request)
+        owner, number = self._claims.owning_claim(session.number)
+        until = self._keeper.runtime(now) + (request.length or MAX_SESSION_US) + RECORD_RETENTION_US
         intent = Intent(
             until,
-            ask.key,
+            request.key,
             name,
             session.server.decode(),
             session.epoch,
-            clock,
+            clock_reading,
             session.rung,
             service,
             tenant,
             title,
-            ask.best_rung,
-            ask.length,
-            ask.home_cell,
-            ask.copies,
-            session.free,
+            request.best_rung,
+            request.length,
+            request.home_cell,
+            request.copies,
+            session.is_free,
             owner,
             number,
         )
-        if session.free:
-            self._put(now, session.number, name, intent)
-            then(now, True)
+        if session.is_free:
+            self._record(now, session.number, name, intent)
+            on_recorded(now, True)
         else:
-            self._put(now, session.number, digest_of(ask.key), intent, then)
+            self._record(now, session.number, hash_key(request.key), intent, on_recorded)
 
-    def found(self, now: int, session: int, digest: str, intent: Intent) -> None:
+    def restore(self, now: int, session: int, digest: str, intent: Intent) -> None:
         """Restore a record of an earlier generation; `session` is its new number, 0 if it has ended."""
-        self._until[digest] = intent.until
-        self._ends.append((intent.until, digest))
+        self._kept_until[digest] = intent.until
+        self._expiries.append((intent.until, digest))
         if session:
-            self._written[session] = digest, intent
+            self._records[session] = digest, intent
 
-    def over(self, now: int, session: int, ran: bool) -> None:
+    def record_end(self, now: int, session: int, may_have_run: bool) -> None:
         """Record the end of a session; remove its record if it provably never ran, or is free."""
-        digest, intent = self._written.pop(session, ("", None))
+        digest, intent = self._records.pop(session, ("", None))
         if intent is None:
             return
-        if ran and not intent.free:
-            self._keeper.keep(now, Kind.INTENT, digest, msgspec.structs.replace(intent, over=True))
+        if may_have_run and not intent.free:
+            self._keeper.save(now, RecordKind.INTENT, digest, msgspec.structs.replace(intent, over=True))
         else:
-            self._until.pop(digest, None)
-            self._keeper.keep(now, Kind.INTENT, digest, None)
+            self._kept_until.pop(digest, None)
+            self._keeper.save(now, RecordKind.INTENT, digest, None)
 
-    def _put(
+    def _record(
         self,
         now: int,
         session: int,
         digest: str,
         intent: Intent,
-        then: Callable[[int, bool], None] | None = None,
+        on_recorded: Callable[[int, bool], None] | None = None,
     ) -> None:
-        self._sweep(now)
-        self._written[session] = digest, intent
-        self._until[digest] = intent.until
-        self._ends.append((intent.until, digest))
-        self._keeper.keep(now, Kind.INTENT, digest, intent, then)
+        self._remove_expired(now)
+        self._records[session] = digest, intent
+        self._kept_until[digest] = intent.until
+        self._expiries.append((intent.until, digest))
+        self._keeper.save(now, RecordKind.INTENT, digest, intent, on_recorded)
 
-    def _sweep(self, now: int) -> None:
+    def _remove_expired(self, now: int) -> None:
         """Remove expired records, without which the file would grow forever."""
-        ran = self._keeper.ran(now)
-        for _ in range(min(SWEPT_AT_ONCE, len(self._ends))):
-            until, digest = self._ends[0]
-            if until > ran:
+        running_time = self._keeper.runtime(now)
+        for _ in range(min(MAX_REMOVED_PER_WRITE, len(self._expiries))):
+            until, digest = self._expiries[0]
+            if until > running_time:
                 return
-            self._ends.popleft()
-            if self._until.get(digest) == until:
-                del self._until[digest]
-                self._keeper.keep(now, Kind.INTENT, digest, None)
+            self._expiries.popleft()
+            if self._kept_until.get(digest) == until:
+                del self._kept_until[digest]
+                self._keeper.save(now, RecordKind.INTENT, digest, None)
--- a/mintmast/decisions/sessions/keys.py
+++ b/mintmast/decisions/sessions/keys.py
@@ -13,43 +13,43 @@
 SECOND = 1_000_000
 # µs for which the key of a paid session that may have run is retained: longer than any viewer retries, and
 # within a gateway's memory (at 6 keys a second a day is 500,000 keys, an hour 20,000)
-KEY_KEPT = 3600 * SECOND
+KEY_RETENTION_US = 3600 * SECOND
 
 
 class Keys:
     """The keys of one gateway. The empty key means no key and is never held."""
 
     def __init__(self) -> None:
-        self._held: dict[str, int] = {}
-        self._spent: dict[str, int] = {}  # until when
-        self._order: deque[tuple[int, str]] = deque()
+        self._holders: dict[str, int] = {}
+        self._used_until: dict[str, int] = {}  # until when
+        self._expiries: deque[tuple[int, str]] = deque()
 
     def holder(self, key: str) -> int:
         """Return the session that is being set up or plays for a key, 0 for none."""
-        return self._held.get(key, 0)
+        return self._holders.get(key, 0)
 
-    def spent(self, now: int, key: str) -> bool:
+    def is_used(self, now: int, key: str) -> bool:
         """Return whether a key is used up, so that no session may be set up for it."""
-        return self._spent.get(key, now) > now
+        return self._used_until.get(key, now) > now
 
-    def spend(self, now: int, key: str, keep: int) -> None:
+    def mark_used(self, now: int, key: str, duration: int) -> None:
         """Mark a key that was recovered from the records as used for `duration` µs."""
-        self._spent[key] = now + keep
-        self._order.append((now + keep, key))
+        self._used_until[key] = now + duration
+        self._expiries.append((now + duration, key))
 
-    def take(self, key: str, session: int) -> None:
+    def hold(self, key: str, session: int) -> None:
         """Make a session the holder of a key."""
         if key:
-            self._held[key] = session
+            self._holders[key] = session
 
-    def release(self, now: int, key: str, session: int, spend: bool) -> None:
+    def release(self, now: int, key: str, session: int, mark_used: bool) -> None:
         """Release a session's key; with `mark_used` the key stays unusable for `KEY_RETENTION_US`."""
-        if key and self._held.get(key) == session:
-            del self._held[key]
-            if spend:
-                self._spent[key] = now + KEY_KEPT
-                self._order.append((now + KEY_KEPT, key))
-        while self._order and self._order[0][0] <= now:
-            until, key = self._order.popleft()
-            if self._spent.get(key) == until:
-                del self._spent[key]
+        if key and self._holders.get(key) == session:
+            del self._holders[key]
+            if mark_used:
+                self._used_until[key] = now + KEY_RETENTION_US
+                self._expiries.append((now + KEY_RETENTION_US, key))
+        while self._expiries and self._expiries[0][0] <= now:
+            until, key = self._expiries.popleft()
+            if self._used_until.get(key) == until:
+                del self._used_until[key]
--- a/mintmast/decisions/sessions/lease.py
+++ b/mintmast/decisions/sessions/lease.py
@@ -20,9 +20,9 @@
 
 # Relative difference allowed between the rates of two clocks: crystals keep 0.0001, slewed clocks 0.0005
 # (ntpd's bound); 0.01 leaves a margin for a host that is paused in the middle of its own calculation
-DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 # renewals within one lease: two in a row may be lost before a session ends
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 
 
 @dataclass(slots=True)
@@ -34,67 +34,69 @@
     """
 
     reading: int = -1
-    heard_at: int = 0
-    sure_at: int = 0
+    latest_at: int = 0
+    earliest_at: int = 0
 
-    def heard(self, reading: int, now: int, asked: int | None) -> None:
+    def record_reading(self, reading: int, now: int, sent_at: int | None) -> None:
         """Record a reading received at `now`, in reply to a call sent at `sent_at` or (None) unsolicited."""
         if reading < self.reading:
             return  # an older message that arrived late
-        bounds = [] if asked is None else [asked]
+        bounds = [] if sent_at is None else [sent_at]
         if self.reading >= 0:
             # extrapolates the last reading at the lowest rate that the host's clock can have relative to
             # ours, so that a reply with a long delay does not loosen a bound that was already tighter
-            bounds.append(self.sure_at + int((reading - self.reading) * (1 - DRIFT)))
-        self.reading, self.heard_at, self.sure_at = reading, now, min(max(bounds, default=now), now)
+            bounds.append(self.earliest_at + int((reading - self.reading) * (1 - MAX_CLOCK_DRIFT)))
+        self.reading, self.latest_at, self.earliest_at = reading, now, min(max(bounds, default=now), now)
 
 
 @dataclass(slots=True)
-class _Renewal:
+class _LeaseCall:
     number: int
-    over: int
-    sure: int
-    proven: bool
+    expires_at: int
+    held_until: int
+    rests_on_readings: bool
 
 
 @dataclass(slots=True)
 class Lease:
     """One session's lease as known to its gateway; times in µs of the gateway's clock."""
 
-    calls: list[_Renewal] = field(default_factory=list)
-    sure_until: int = 0  # the host holds it at least so long, if it lives and gets no termination
+    calls: list[_LeaseCall] = field(default_factory=list)
+    held_until: int = 0  # the host holds it at least so long, if it lives and gets no termination
 
-    def asked(self, number: int, now: int, length: int, clock: HostClock | None) -> None:
+    def record_call(self, number: int, now: int, length: int, clock: HostClock | None) -> None:
         """Record a call about to be sent at `now`; without a reading the host counts from its arrival."""
         if clock is None or clock.reading < 0:
-            self.calls.append(_Renewal(number, now + int(2 * length * (1 + DRIFT)), now + length, False))
+            self.calls.append(
+                _LeaseCall(number, now + int(2 * length * (1 + MAX_CLOCK_DRIFT)), now + length, False)
+            )
             return
-        over = clock.heard_at + int(length * (1 + DRIFT)) + 1
-        sure = clock.sure_at + int(length * (1 - DRIFT))
-        self.calls.append(_Renewal(number, over, sure, True))
+        expires_at = clock.latest_at + int(length * (1 + MAX_CLOCK_DRIFT)) + 1
+        held_until = clock.earliest_at + int(length * (1 - MAX_CLOCK_DRIFT))
+        self.calls.append(_LeaseCall(number, expires_at, held_until, True))
 
-    def answered(self, number: int) -> None:
+    def record_answer(self, number: int) -> None:
         """Record that the host accepted call `number`; from now on it ignores all earlier ones."""
         for call in self.calls:
             if call.number == number:
-                self.sure_until = call.sure
+                self.held_until = call.held_until
         self.calls = [call for call in self.calls if call.number >= number]
 
-    def never_came(self, number: int) -> None:
+    def discard_call(self, number: int) -> None:
         """Discard call `number`, which provably never reached the host."""
         self.calls = [call for call in self.calls if call.number != number]
 
     @property
-    def over_at(self) -> int:
+    def expires_at(self) -> int:
         """The latest time at which the host can still hold the session, as far as is known."""
-        return max((call.over for call in self.calls), default=0)
+        return max((call.expires_at for call in self.calls), default=0)
 
     @property
-    def proven(self) -> bool:
+    def rests_on_readings(self) -> bool:
         """Return whether `expires_at` rests on readings of the host's clock alone."""
-        return bool(self.calls) and all(call.proven for call in self.calls)
+        return bool(self.calls) and all(call.rests_on_readings for call in self.calls)
 
 
-def renew_every(length: int) -> int:
+def renewal_interval(length: int) -> int:
     """Return the time between renewals of a lease of this length."""
-    return max(1, length // RENEWALS)
+    return max(1, length // RENEWALS_PER_LEASE)
--- a/mintmast/decisions/sessions/moves.py
+++ b/mintmast/decisions/sessions/moves.py
@@ -15,31 +15,31 @@
 from enum import Enum
 
 from mintmast import interface as api
-from mintmast.decisions.sessions.budget import Budget
+from mintmast.decisions.sessions.budget import RetryBudget
 from mintmast.interface import Effect
 
 SECOND = 1_000_000
 # Lease of a session about to be moved: long enough for the termination or its reply to be lost twice and
 # tried again, short enough that a usual player's buffer (8 s and more) outlasts it
-SHORT_LEASE = 2 * SECOND
+SHORT_LEASE_US = 2 * SECOND
 # Timeout of the call that shortens the lease; a host that takes longer is too slow for a move
-PREPARE_TIME = SECOND // 2
+PREPARE_TIMEOUT_US = SECOND // 2
 # Timeout of the termination's reply, after which the place found is given back. If the place were held
 # longer, a set-up could reach a cold host in a later pacing window than the one that the module counted
-END_QUICK = SECOND // 4
+MOVE_TERMINATION_TIMEOUT_US = SECOND // 4
 # Time allowed for the set-up at the new host and the player's next request: a few round trips and the host's
 # processing
-SET_UP_ALLOWANCE = SECOND
+SET_UP_ALLOWANCE_US = SECOND
 # A session with less time left than this ends by itself about as soon as a move would complete
-LEAST_LEFT = 4 * SECOND
+MIN_REMAINING_US = 4 * SECOND
 # Concurrent moves of one gateway, and of one host among them. Each is one set-up. The module's pacing of cold
 # hosts and its capacity check limit where sessions go; these limit how many are between two hosts at a time
-IN_FLIGHT, IN_FLIGHT_HOST = 32, 16
+MAX_MOVES, MAX_MOVES_PER_HOST = 32, 16
 # Backoff of a host's moves after one found no capacity, doubled each time up to the maximum: each attempt
 # costs the module a request, and retries do not free capacity
-NO_ROOM, NO_ROOM_MOST = SECOND // 2, 8 * SECOND
+NO_ROOM_BACKOFF_US, MAX_NO_ROOM_BACKOFF_US = SECOND // 2, 8 * SECOND
 # A candidate that has not polled for this long has stopped polling
-CANDIDATE_AGE = 15 * SECOND
+CANDIDATE_MAX_AGE_US = 15 * SECOND
 
 
 class Stage(Enum):
@@ -75,7 +75,7 @@
     LEFT = "left"  # the viewer has left, or the clip has ended
 
 
-class Act(Enum):
+class Action(Enum):
     """What the book executes on a transition."""
 
     SHORTEN = "shorten"
@@ -90,9 +90,9 @@
     FORGET = "forget"
 
 
-_S, _G, _A = Stage, Signal, Act
+_S, _G, _A = Stage, Signal, Action
 # (stage, signal): (next stage, actions). A pair that is not listed changes nothing.
-TABLE: dict[tuple[Stage, Signal], tuple[Stage, tuple[Act, ...]]] = {
+TRANSITIONS: dict[tuple[Stage, Signal], tuple[Stage, tuple[Action, ...]]] = {
     (_S.PLAYS, _G.GRANTED): (_S.PREPARING, (_A.SHORTEN,)),
     (_S.PREPARING, _G.SHORT): (_S.PLACING, (_A.PLACE,)),
     (_S.PREPARING, _G.NOT_SHORT): (_S.PLAYS, (_A.STAY,)),
@@ -117,35 +117,35 @@
     (_S.SETTING_UP, _G.LEFT): (_S.OVER, (_A.CALL_OFF, _A.FORGET)),
 }
 # stages that have no further transition
-FINAL = frozenset({Stage.MOVED, Stage.LOST, Stage.OVER})
+FINAL_STAGES = frozenset({Stage.MOVED, Stage.LOST, Stage.OVER})
 # stages in which the old session may still play, so that the new one must not be set up
-OLD_MAY_PLAY = frozenset({Stage.PLAYS, Stage.PREPARING, Stage.PLACING, Stage.ENDING, Stage.WAITING})
+STAGES_OLD_MAY_PLAY = frozenset({Stage.PLAYS, Stage.PREPARING, Stage.PLACING, Stage.ENDING, Stage.WAITING})
 
 
-def step(stage: Stage, signal: Signal) -> tuple[Stage, tuple[Act, ...]]:
+def transition_for(stage: Stage, signal: Signal) -> tuple[Stage, tuple[Action, ...]]:
     """Return the next stage and the actions to execute."""
-    return TABLE.get((stage, signal), (stage, ()))
+    return TRANSITIONS.get((stage, signal), (stage, ()))
 
 
-def bridges(buffer: int, lease_left: int) -> bool:
+def buffer_covers_move(buffer: int, lease_remaining: int) -> bool:
     """Return whether a buffer (µs) outlasts the longest time that a move leaves the player without a host."""
-    return buffer >= max(0, lease_left) + SET_UP_ALLOWANCE
+    return buffer >= max(0, lease_remaining) + SET_UP_ALLOWANCE_US
 
 
 @dataclass(slots=True)
 class _Candidate:
-    left: int
+    remaining: int
     worth: float
-    heard: int
+    last_polled: int
 
 
 @dataclass(slots=True)
-class _Host:
+class _DrainingHost:
     candidates: dict[int, _Candidate] = field(default_factory=dict)
     moving: set[int] = field(default_factory=set)
     not_before: int = 0
-    in_vain: int = 0
-    ends: int | None = None  # when the host will be switched off, if known
+    failures: int = 0
+    drain_deadline: int | None = None  # when the host will be switched off, if known
 
 
 class MovePlanner:
@@ -155,22 +155,28 @@
     the limits on concurrent moves. A move counts against the retry budget, as it sends a session once more.
     """
 
-    def __init__(self, settings: api.Settings, budget: Budget) -> None:
+    def __init__(self, settings: api.Settings, budget: RetryBudget) -> None:
         self.settings, self.budget = settings, budget
-        self._hosts: dict[bytes, _Host] = {}
-        self.in_flight = 0
+        self._hosts: dict[bytes, _DrainingHost] = {}
+        self.moves_under_way = 0
 
-    def drains(self, server: bytes, on: bool, ends: int | None = None) -> None:
+    def set_draining(self, server: bytes, is_draining: bool, drain_deadline: int | None = None) -> None:
         """Record that a host drains or no longer does, with the time of its switch-off if that is known."""
-        if not on:
+        if not is_draining:
             host = self._hosts.pop(server, None)
             if host is not None and host.moving:
-                self._hosts[server] = _Host(moving=host.moving)
+                self._hosts[server] = _DrainingHost(moving=host.moving)
             return
-        self._hosts.setdefault(server, _Host()).ends = ends
-
-    def why_not(
-        self, now: int, server: bytes, session: int, service: api.ServiceClass, left: int | None, buffer: int
+        self._hosts.setdefault(server, _DrainingHost()).drain_deadline = drain_deadline
+
+    def reason_to_stay(
+        self,
+        now: int,
+        server: bytes,
+        session: int,
+        service: api.ServiceClass,
+        remaining: int | None,
+        buffer: int,
     ) -> str:
         """Return why the session is not moved now, "" if it may move.
 
@@ -178,51 +184,57 @@
         """
         if service.effect is not Effect.FREE:
             return "its class must not be set up again"
-        host = self._hosts.setdefault(server, _Host())
-        ends_first = host.ends is not None and left is not None and now + left <= host.ends
-        if ends_first or (left is not None and left < LEAST_LEFT):
+        host = self._hosts.setdefault(server, _DrainingHost())
+        ends_before_drain = (
+            host.drain_deadline is not None
+            and remaining is not None
+            and now + remaining <= host.drain_deadline
+        )
+        if ends_before_drain or (remaining is not None and remaining < MIN_REMAINING_US):
             host.candidates.pop(session, None)
             return "it ends by itself"
-        most = SECOND * 10**6 if left is None else left
-        host.candidates[session] = _Candidate(most, service.worth, now)
-        if not bridges(buffer, SHORT_LEASE):
+        remaining_bound = SECOND * 10**6 if remaining is None else remaining
+        host.candidates[session] = _Candidate(remaining_bound, service.worth, now)
+        if not buffer_covers_move(buffer, SHORT_LEASE_US):
             return "its buffer is too short"
         if now < host.not_before:
             return "no room elsewhere"
-        if self.in_flight >= IN_FLIGHT or len(host.moving) >= IN_FLIGHT_HOST:
+        if self.moves_under_way >= MAX_MOVES or len(host.moving) >= MAX_MOVES_PER_HOST:
             return "others are moving"
         if not self.budget.allows(now):
             return "the budget of further attempts is spent"
-        if self._rank(now, host, session) >= 2 * (IN_FLIGHT_HOST - len(host.moving)):
+        if self._rank(now, host, session) >= 2 * (MAX_MOVES_PER_HOST - len(host.moving)):
             return "others hold the drain longer"
         return ""
 
-    def _rank(self, now: int, host: _Host, session: int) -> int:
-        mine = host.candidates[session]
-        for number in [n for n, each in host.candidates.items() if each.heard < now - CANDIDATE_AGE]:
+    def _rank(self, now: int, host: _DrainingHost, session: int) -> int:
+        candidate = host.candidates[session]
+        for number in [
+            n for n, each in host.candidates.items() if each.last_polled < now - CANDIDATE_MAX_AGE_US
+        ]:
             del host.candidates[number]
         return sum(
-            (each.left, each.worth) > (mine.left, mine.worth)
+            (each.remaining, each.worth) > (candidate.remaining, candidate.worth)
             for number, each in host.candidates.items()
             if number not in host.moving
         )
 
-    def begin(self, now: int, server: bytes, session: int) -> None:
+    def begin_move(self, now: int, server: bytes, session: int) -> None:
         """Count a move as started."""
-        host = self._hosts.setdefault(server, _Host())
+        host = self._hosts.setdefault(server, _DrainingHost())
         host.moving.add(session)
         host.candidates.pop(session, None)
-        self.in_flight += 1
+        self.moves_under_way += 1
 
-    def end(self, now: int, server: bytes, session: int, outcome: Signal) -> None:
+    def end_move(self, now: int, server: bytes, session: int, outcome: Signal) -> None:
         """Count a move as ended, whether or not it succeeded."""
         host = self._hosts.get(server)
         if host is None or session not in host.moving:
             return
         host.moving.discard(session)
-        self.in_flight -= 1
+        self.moves_under_way -= 1
         if outcome is Signal.NO_ROOM:
-            host.not_before = now + min(NO_ROOM_MOST, NO_ROOM << min(host.in_vain, 10))
-            host.in_vain += 1
+            host.not_before = now + min(MAX_NO_ROOM_BACKOFF_US, NO_ROOM_BACKOFF_US << min(host.failures, 10))
+            host.failures += 1
         elif outcome is Signal.UP:
-            host.in_vain = 0
+            host.failures = 0
--- a/mintmast/decisions/sessions/orders.py
+++ b/mintmast/decisions/sessions/orders.py
@@ -8,42 +8,44 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.gateways.records import Keeper, Kind, Recovered
-from mintmast.decisions.gateways.standing import Proof
-from mintmast.decisions.gateways.talk import PeerStands
-from mintmast.decisions.messages import Drain, Ordered
+from mintmast.decisions.gateways.records import RecordWriter, RecordKind, RecoveredState
+from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.gateways.claim_messages import PeerStatusChanged
+from mintmast.decisions.messages import DrainOrdered, DrainRecorded
 from mintmast.decisions.sessions.fleet import Fleet
 
 
-class Orders:
+class OperatorOrders:
     """The operators' orders of one gateway; `emit` receives commands."""
 
-    def __init__(self, fleet: Fleet, keeper: Keeper, emit: Callable[[object], None]) -> None:
+    def __init__(self, fleet: Fleet, keeper: RecordWriter, emit: Callable[[object], None]) -> None:
         self._fleet, self._keeper, self._emit = fleet, keeper, emit
-        self._stood: dict[str, tuple[int, bool]] = {}  # other gateways: generation, removed by an operator
+        self._known_peers: dict[
+            str, tuple[int, bool]
+        ] = {}  # other gateways: generation, removed by an operator
 
-    def begin(self, now: int, kept: Recovered) -> None:
+    def restore(self, now: int, recovered: RecoveredState) -> None:
         """Restore the orders recorded by earlier generations."""
-        self._stood = dict(kept.members)
-        for server, until in kept.drains.items():
-            within = None if until is None else max(0, until - kept.ran)
-            self._fleet.order(now, Drain(server.encode(), True, within))
+        self._known_peers = dict(recovered.members)
+        for server, until in recovered.drains.items():
+            within = None if until is None else max(0, until - recovered.runtime)
+            self._fleet.handle_drain_order(now, DrainOrdered(server.encode(), True, within))
 
-    def drain(self, now: int, event: Drain) -> None:
+    def handle_drain_order(self, now: int, event: DrainOrdered) -> None:
         """Apply and record an order to drain a host, or its revocation."""
-        self._fleet.order(now, event)
+        self._fleet.handle_drain_order(now, event)
         server = event.server
-        ends = self._fleet.drains.ends(server)
-        until = None if ends is None else ends + self._keeper.ran(now) - now
+        drain_deadline = self._fleet.drains.deadline_of(server)
+        until = None if drain_deadline is None else drain_deadline + self._keeper.runtime(now) - now
 
         def kept(at: int, good: bool) -> None:
-            self._emit(Ordered(server, good))
+            self._emit(DrainRecorded(server, good))
 
-        self._keeper.keep(now, Kind.DRAIN, server.decode(), until, kept, gone=not event.on)
+        self._keeper.save(now, RecordKind.DRAIN, server.decode(), until, kept, delete=not event.drain)
 
-    def stands(self, now: int, event: PeerStands) -> None:
+    def handle_peer_state(self, now: int, event: PeerStatusChanged) -> None:
         """Record the last known generation of a gateway and whether an operator has removed it."""
-        told = event.start, event.proof is Proof.ORDER
-        if event.start and told != self._stood.get(event.peer):
-            self._stood[event.peer] = told
-            self._keeper.keep(now, Kind.MEMBER, event.peer, told)
+        peer_state = event.generation, event.liveness is Liveness.ORDER
+        if event.generation and peer_state != self._known_peers.get(event.peer):
+            self._known_peers[event.peer] = peer_state
+            self._keeper.save(now, RecordKind.MEMBER, event.peer, peer_state)
--- a/mintmast/decisions/sessions/recovery.py
+++ b/mintmast/decisions/sessions/recovery.py
@@ -17,9 +17,17 @@
 
 from mintmast import interface as api
 from mintmast.decisions.gateways.claims import Claims
-from mintmast.decisions.gateways.records import Intent, Recovered
-from mintmast.decisions.messages import Ask, Named, Say, SendSettle, Settled, Verdict, Wake
-from mintmast.decisions.outcomes import FATES, Fate, Word, reaches
+from mintmast.decisions.gateways.records import Intent, RecoveredState
+from mintmast.decisions.messages import (
+    ViewerRequest,
+    SessionNamed,
+    LogEvent,
+    SendReconciliation,
+    ReconciliationEnded,
+    Verdict,
+    ScheduleTimer,
+)
+from mintmast.decisions.outcomes import RECOVERY_TABLE, RecoveryOutcome, HostReport, memory_covers
 from mintmast.decisions.sessions.intents import Catalogue, Intents
 from mintmast.decisions.sessions.keys import Keys
 from mintmast.decisions.sessions.lease import Lease
@@ -29,28 +37,33 @@
 
 SECOND = 1_000_000
 # µs after which a host that did not reply is queried again, and the timeout of one query
-AGAIN = SECOND // 2
+RETRY_INTERVAL_US = SECOND // 2
 # sessions in one query: about 20 kB, as in a renewal
-SETTLED_AT_ONCE = 200
+MAX_SESSIONS_PER_QUERY = 200
 # hosts queried concurrently: a start with a long list must not open all its connections at the same time
-HOSTS_AT_ONCE = 16
+MAX_HOSTS_QUERIED = 16
 
 
-class Desk(Protocol):
+class RecoveryCallbacks(Protocol):
     """The book's operations that the recovery calls."""
 
-    def feed(self, now: int, event: api.Event) -> None:
+    def dispatch(self, now: int, event: api.Event) -> None:
         """Pass an event to the module and execute its actions."""
 
     def close(
-        self, now: int, session: Session, verdict: Verdict | None = None, advice: int = 0, reason: str = ""
+        self,
+        now: int,
+        session: Session,
+        verdict: Verdict | None = None,
+        retry_after: int = 0,
+        reason: str = "",
     ) -> None:
         """Close a session and answer its pending requests."""
 
-    def unwanted(self, now: int, session: Session) -> None:
+    def end_unwatched(self, now: int, session: Session) -> None:
         """Terminate a session that plays but has no viewer."""
 
-    def settled(self, now: int, session: Session) -> None:
+    def resume_session(self, now: int, session: Session) -> None:
         """Resume a session that plays and answer its pending requests."""
 
 
@@ -59,7 +72,7 @@
 
     def __init__(
         self,
-        desk: Desk,
+        callbacks: RecoveryCallbacks,
         settings: api.Settings,
         catalogue: Catalogue,
         sessions: Sessions,
@@ -69,147 +82,168 @@
         intents: Intents,
         emit: Callable[[object], None],
     ) -> None:
-        self._desk, self._settings, self._catalogue = desk, settings, catalogue
+        self._callbacks, self._settings, self._catalogue = callbacks, settings, catalogue
         self._sessions, self._keys, self._leases = sessions, keys, leases
         self._claims, self._intents, self._emit = claims, intents, emit
-        self._open: dict[int, tuple[str, Intent]] = {}  # unsettled session: digest and record
-        self._handed = False  # whether the module knows the unsettled sessions
-        self._waiting: deque[bytes] = deque()  # hosts still to be queried
-        self._asked: dict[bytes, int] = {}  # host being queried: call number
-        self.counts = dict.fromkeys((*(each.value for each in Fate), "not offered"), 0)
+        self._unsettled: dict[int, tuple[str, Intent]] = {}  # unsettled session: digest and record
+        self._module_informed = False  # whether the module knows the unsettled sessions
+        self._waiting_hosts: deque[bytes] = deque()  # hosts still to be queried
+        self._pending_calls: dict[bytes, int] = {}  # host being queried: call number
+        self.counts = dict.fromkeys((*(each.value for each in RecoveryOutcome), "not offered"), 0)
 
-    def adopt(self, settings: api.Settings, catalogue: Catalogue) -> None:
+    def apply_settings(self, settings: api.Settings, catalogue: Catalogue) -> None:
         """Apply new settings."""
         self._settings, self._catalogue = settings, catalogue
 
-    def holds(self, session: int) -> bool:
+    def is_unsettled(self, session: int) -> bool:
         """Return whether a session of an earlier generation is not settled yet."""
-        return session in self._open
+        return session in self._unsettled
 
     @property
-    def open(self) -> int:
+    def unsettled_count(self) -> int:
         """Number of sessions that are not settled yet."""
-        return len(self._open)
+        return len(self._unsettled)
 
-    def begin(self, now: int, kept: Recovered) -> None:
+    def restore(self, now: int, recovered: RecoveredState) -> None:
         """Restore the records of earlier generations; no host is queried before the hosts are known."""
-        for digest, (intent, keep) in sorted(kept.intents.items(), key=lambda each: each[1][1]):
-            self._claims.restore(now, digest, intent.owner, intent.number, keep)
-            numbers = self._catalogue.numbers(intent)
+        for digest, (intent, keep) in sorted(recovered.intents.items(), key=lambda each: each[1][1]):
+            self._claims.restore_owned(now, digest, intent.owner, intent.number, keep)
+            numbers = self._catalogue.numbers_of(intent)
             if intent.over or numbers is None:
                 self.counts["not offered"] += not intent.over
                 if not intent.free:
-                    self._keys.spend(now, intent.key, keep)
-                self._intents.found(now, 0, digest, intent)
+                    self._keys.mark_used(now, intent.key, keep)
+                self._intents.restore(now, 0, digest, intent)
             else:
-                self._found(now, digest, intent, numbers)
-        self._waiting.extend(dict.fromkeys(each.server.encode() for _, each in self._open.values()))
-        if self._open:
-            self._emit(Say("unsettled", (("sessions", len(self._open)), ("hosts", len(self._waiting)))))
-
-    def _found(self, now: int, digest: str, intent: Intent, numbers: tuple[int, int, int]) -> None:
+                self._restore_session(now, digest, intent, numbers)
+        self._waiting_hosts.extend(
+            dict.fromkeys(each.server.encode() for _, each in self._unsettled.values())
+        )
+        if self._unsettled:
+            self._emit(
+                LogEvent(
+                    "unsettled", (("sessions", len(self._unsettled)), ("hosts", len(self._waiting_hosts)))
+                )
+            )
+
+    def _restore_session(self, now: int, digest: str, intent: Intent, numbers: tuple[int, int, int]) -> None:
         """Reopen a session as one with an attempt under way."""
         service, tenant, title = numbers
-        over = now + 2 * self._leases.length
+        deadline = now + 2 * self._leases.length
         where = intent.home, intent.copies, intent.best_rung
-        ask = Ask(0, service, tenant, title, *where, 0, intent.key, intent.length)
-        session = self._sessions.open(ask, over, self._settings.classes[service].effect)
-        session.take(Signal.SENT)
+        request = ViewerRequest(0, service, tenant, title, *where, 0, intent.key, intent.length)
+        session = self._sessions.open(request, deadline, self._settings.classes[service].effect)
+        session.apply_signal(Signal.SENT)
         session.server, session.epoch, session.rung = intent.server.encode(), intent.epoch, intent.rung
         session.sent_at, session.attempts = now, 1
         session.lease = Lease()
         # bounds the last lease of the earlier generation as if it had been granted at this start
-        session.lease.asked(0, now, self._leases.length, None)
-        if not session.free:
-            self._keys.take(intent.key, session.number)
-        self._intents.found(now, session.number, digest, intent)
-        self._open[session.number] = digest, intent
-        self._emit(Named(session.number, intent.session))
-
-    def hosts_known(self, now: int) -> None:
+        session.lease.record_call(0, now, self._leases.length, None)
+        if not session.is_free:
+            self._keys.hold(intent.key, session.number)
+        self._intents.restore(now, session.number, digest, intent)
+        self._unsettled[session.number] = digest, intent
+        self._emit(SessionNamed(session.number, intent.session))
+
+    def handle_hosts_known(self, now: int) -> None:
         """Pass the unsettled sessions to the module once it knows hosts, and start to query them.
 
         Before the module knows a host it would reserve no capacity for these sessions. It also places no
         session before that, so their seats count from its first decision on.
         """
-        if self._handed:
+        if self._module_informed:
             return
-        self._handed = True
-        for number in self._open:
+        self._module_informed = True
+        for number in self._unsettled:
             session = self._sessions.by_number[number]
-            ask = session.ask
-            about = ask.service, ask.tenant, ask.title, ask.best_rung, session.server or b"", ask.length
-            self._desk.feed(now, api.SessionOpen(number, *about, planned=False))
-        self.go_on(now)
-
-    def go_on(self, now: int) -> None:
+            request = session.request
+            about = (
+                request.service,
+                request.tenant,
+                request.title,
+                request.best_rung,
+                session.server or b"",
+                request.length,
+            )
+            self._callbacks.dispatch(now, api.SessionOpen(number, *about, planned=False))
+        self.continue_queries(now)
+
+    def continue_queries(self, now: int) -> None:
         """Query waiting hosts up to the concurrency limit."""
-        while self._waiting and len(self._asked) < HOSTS_AT_ONCE:
-            self._ask(now, self._waiting.popleft())
+        while self._waiting_hosts and len(self._pending_calls) < MAX_HOSTS_QUERIED:
+            self._query_host(now, self._waiting_hosts.popleft())
 
-    def _ask(self, now: int, server: bytes) -> None:
-        here = self._at(server)[:SETTLED_AT_ONCE]
+    def _query_host(self, now: int, server: bytes) -> None:
+        here = self._unsettled_at(server)[:MAX_SESSIONS_PER_QUERY]
         if not here:
             return
-        number, clock = self._leases.ask(now, server, here)
-        self._asked[server] = number
-        told = tuple((each.number, each.epoch) for each in here)
-        self._emit(SendSettle(server, told, now + AGAIN, number, clock, self._leases.length))
-
-    def _at(self, server: bytes) -> list[Session]:
+        number, clock = self._leases.begin_reconciliation(now, server, here)
+        self._pending_calls[server] = number
+        queried = tuple((each.number, each.epoch) for each in here)
+        self._emit(
+            SendReconciliation(server, queried, now + RETRY_INTERVAL_US, number, clock, self._leases.length)
+        )
+
+    def _unsettled_at(self, server: bytes) -> list[Session]:
         """Return the unsettled sessions at a host."""
-        found = (self._sessions.by_number[number] for number in self._open)
+        found = (self._sessions.by_number[number] for number in self._unsettled)
         return [each for each in found if each.server == server]
 
-    def settled(self, now: int, event: Settled) -> None:
+    def handle_reconciliation_ended(self, now: int, event: ReconciliationEnded) -> None:
         """Process the end of a query, with or without a reply."""
-        if self._asked.get(event.server) != event.number:
+        if self._pending_calls.get(event.server) != event.call_number:
             return
-        del self._asked[event.server]
-        self._leases.heard(event.server, event.told.clock, now, event.sent)
-        for number, word, rung in event.words:
-            if number in self._open:
-                self._settle(now, number, word, event.since, rung)
-        for session in self._at(event.server):
-            if session.lease is not None and now >= session.lease.over_at:
-                self._conclude(now, session.number, Fate.UNKNOWN)
-        if self._at(event.server):
-            self._emit(Wake(now + AGAIN, ("settle", event.server)))
-        self.go_on(now)
-
-    def again(self, now: int, server: bytes) -> None:
+        del self._pending_calls[event.server]
+        self._leases.record_reading(event.server, event.status.clock, now, event.sent_at)
+        for number, report, rung in event.reports:
+            if number in self._unsettled:
+                self._conclude_from_report(now, number, report, event.memory_since, rung)
+        for session in self._unsettled_at(event.server):
+            if session.lease is not None and now >= session.lease.expires_at:
+                self._conclude(now, session.number, RecoveryOutcome.UNKNOWN)
+        if self._unsettled_at(event.server):
+            self._emit(ScheduleTimer(now + RETRY_INTERVAL_US, ("settle", event.server)))
+        self.continue_queries(now)
+
+    def retry_host(self, now: int, server: bytes) -> None:
         """Queue another query of a host."""
-        if server not in self._asked and server not in self._waiting:
-            self._waiting.append(server)
-        self.go_on(now)
+        if server not in self._pending_calls and server not in self._waiting_hosts:
+            self._waiting_hosts.append(server)
+        self.continue_queries(now)
 
-    def _settle(self, now: int, number: int, word: Word, since: int, rung: int) -> None:
-        _, intent = self._open[number]
-        self._conclude(now, number, FATES[word, reaches(intent.clock, since)].fate, rung)
+    def _conclude_from_report(
+        self, now: int, number: int, report: HostReport, memory_since: int, rung: int
+    ) -> None:
+        _, intent = self._unsettled[number]
+        self._conclude(
+            now, number, RECOVERY_TABLE[report, memory_covers(intent.clock, memory_since)].outcome, rung
+        )
 
-    def _conclude(self, now: int, number: int, fate: Fate, rung: int = 0) -> None:
-        digest, intent = self._open.pop(number)
+    def _conclude(self, now: int, number: int, outcome: RecoveryOutcome, rung: int = 0) -> None:
+        digest, intent = self._unsettled.pop(number)
         session = self._sessions.by_number[number]
-        self.counts[fate.value] += 1
-        self._emit(Say("settled", (("session", intent.session), ("fate", fate.value))))
-        if not self._open:
-            self._emit(Say("all_settled", tuple(self.counts.items())))
+        self.counts[outcome.value] += 1
+        self._emit(LogEvent("settled", (("session", intent.session), ("fate", outcome.value))))
+        if not self._unsettled:
+            self._emit(LogEvent("all_settled", tuple(self.counts.items())))
         server = session.server or b""
-        if fate is Fate.PLAYS and session.free and self._keys.holder(intent.key):
-            self._desk.unwanted(now, session)  # the viewer has retried and already has another session
+        if outcome is RecoveryOutcome.PLAYS and session.is_free and self._keys.holder(intent.key):
+            self._callbacks.end_unwatched(
+                now, session
+            )  # the viewer has retried and already has another session
             return
-        if fate is Fate.PLAYS:
-            self._keys.take(intent.key, number)
+        if outcome is RecoveryOutcome.PLAYS:
+            self._keys.hold(intent.key, number)
             session.rung = min(max(0, rung), len(self._settings.rung_kb) - 1)
-            self._desk.feed(now, api.Note(number, server, NoteKind.RUNG, float(session.rung)))
-            self._desk.settled(now, session)
+            self._callbacks.dispatch(now, api.Note(number, server, NoteKind.RUNG, float(session.rung)))
+            self._callbacks.resume_session(now, session)
             return
-        over = Outcome.NOT_SENT if fate is Fate.NEVER_RAN else Outcome.CANCELLED
-        self._desk.feed(now, api.AttemptEnd(number, 0, server, over, 0, True))
-        if fate is Fate.NEVER_RAN:
-            session.take(Signal.NEVER_RAN)
-            self._claims.give_back(now, digest)
-            self._desk.close(now, session, Verdict.REFUSED, 0, "its gateway had died")
+        attempt_outcome = Outcome.NOT_SENT if outcome is RecoveryOutcome.NEVER_RAN else Outcome.CANCELLED
+        self._callbacks.dispatch(now, api.AttemptEnd(number, 0, server, attempt_outcome, 0, True))
+        if outcome is RecoveryOutcome.NEVER_RAN:
+            session.apply_signal(Signal.NEVER_RAN)
+            self._claims.release_restored(now, digest)
+            self._callbacks.close(now, session, Verdict.REFUSED, 0, "its gateway had died")
             return
-        session.take(Signal.MAY_HAVE_RUN)
-        self._desk.close(now, session, Verdict.FAILED, reason="this key has been spent")
+        session.apply_signal(Signal.MAY_HAVE_RUN)
+        self._callbacks.close(now, session, Verdict.FAILED, reason="this key has been spent")
--- a/mintmast/decisions/sessions/sessions.py
+++ b/mintmast/decisions/sessions/sessions.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from mintmast.decisions.messages import Ask
+from mintmast.decisions.messages import ViewerRequest
 from mintmast.decisions.sessions.lease import Lease
 from mintmast.interface import Effect
 
 
-def name_of(gateway: str, start: int, number: int) -> str:
+def format_session_name(gateway: str, generation: int, number: int) -> str:
     """Return a session's name on the wire, unique over all gateways and their generations."""
-    return f"{gateway}-{start:x}-{number}"
+    return f"{gateway}-{generation:x}-{number}"
 
 
 class Stage(Enum):
@@ -45,7 +45,7 @@
     TAKEN_OFF = "taken off"  # the gateway terminates it at its host
 
 
-class Act(Enum):
+class Action(Enum):
     """What the book executes on a transition."""
 
     SET_UP = "set up"
@@ -53,9 +53,9 @@
     CALL_OFF = "call off"
 
 
-_S, _G, _A = Stage, Signal, Act
+_S, _G, _A = Stage, Signal, Action
 # (stage, signal): (next stage, actions)
-TABLE: dict[tuple[Stage, Signal], tuple[Stage, tuple[Act, ...]]] = {
+TRANSITIONS: dict[tuple[Stage, Signal], tuple[Stage, tuple[Action, ...]]] = {
     (_S.ASKED, _G.SENT): (_S.OUT, (_A.SET_UP,)),
     (_S.ASKED, _G.CLOSED): (_S.OVER, ()),
     (_S.OUT, _G.STARTED): (_S.PLAYS, ()),
@@ -68,22 +68,24 @@
     (_S.PLAYS, _G.TAKEN_OFF): (_S.OVER, (_A.END,)),
 }
 # a session of a class that may be set up again can be resent where others can only be closed
-FREE_TABLE = {**TABLE, (_S.OUT, _G.MAY_HAVE_RUN): (_S.ASKED, (_A.END,))}
+FREE_TRANSITIONS = {**TRANSITIONS, (_S.OUT, _G.MAY_HAVE_RUN): (_S.ASKED, (_A.END,))}
 
 
-class StepError(AssertionError):
+class TransitionError(AssertionError):
     """A signal without a transition from the stage, such as a second attempt while one is under way."""
 
 
-def step(stage: Stage, signal: Signal, free: bool) -> tuple[Stage, tuple[Act, ...]]:
+def transition_for(stage: Stage, signal: Signal, is_free: bool) -> tuple[Stage, tuple[Action, ...]]:
     """Return the next stage and the actions; `is_free` says that the class may be set up again.
 
     Raises TransitionError for a signal without a transition from the stage.
     """
     try:
-        return (FREE_TABLE if free else TABLE)[stage, signal]
+        return (FREE_TRANSITIONS if is_free else TRANSITIONS)[stage, signal]
     except KeyError:
-        raise StepError(f"session in stage {stage.value!r} has no transition for {signal.value!r}") from None
+        raise TransitionError(
+            f"session in stage {stage.value!r} has no transition for {signal.value!r}"
+        ) from None
 
 
 @dataclass(slots=True, eq=False)
@@ -91,44 +93,44 @@
     """One session; the comments name the part that writes each group of fields."""
 
     number: int
-    ask: Ask
+    request: ViewerRequest
     deadline: int  # µs; when the viewer's timeout expires
     effect: Effect
     rung: int = 0  # written by the book, as the module decides
-    waiting: dict[int, int] = field(default_factory=dict)  # by `requests`: id, deadline
+    waiting_requests: dict[int, int] = field(default_factory=dict)  # by `requests`: id, deadline
     # written by `setups`
     stage: Stage = Stage.ASKED
     server: bytes | None = None
     epoch: int = 0
     attempts: int = 0
     sent_at: int = 0
-    held_back: bool = False  # the attempt waits until its intent is durable; nothing has been sent
-    why: str = ""  # the reason of a refusal other than lack of capacity
-    started: int = 0  # µs; when it first played, at whichever host
-    ran: bool = False  # set when it is closed: an attempt may have run
+    awaits_record: bool = False  # the attempt waits until its intent is durable; nothing has been sent
+    refusal_reason: str = ""  # the reason of a refusal other than lack of capacity
+    first_played_at: int = 0  # µs; when it first played, at whichever host
+    may_have_run: bool = False  # set when it is closed: an attempt may have run
     lease: Lease | None = None  # written by `leases`
 
     @property
-    def free(self) -> bool:
+    def is_free(self) -> bool:
         """Return whether it may be set up again even if an attempt has run."""
         return self.effect is Effect.FREE
 
     @property
-    def out(self) -> bool:
+    def has_attempt_out(self) -> bool:
         """Return whether an attempt is under way."""
         return self.stage is Stage.OUT
 
     @property
-    def playing(self) -> bool:
+    def is_playing(self) -> bool:
         """Return whether it plays."""
         return self.stage is Stage.PLAYS
 
-    def take(self, signal: Signal) -> tuple[Act, ...]:
+    def apply_signal(self, signal: Signal) -> tuple[Action, ...]:
         """Apply a signal and return the actions to execute. Raises TransitionError."""
         before = self.stage
-        self.stage, acts = step(before, signal, self.free)
-        self.ran = self.stage is Stage.OVER and before is not Stage.ASKED
-        return acts
+        self.stage, actions = transition_for(before, signal, self.is_free)
+        self.may_have_run = self.stage is Stage.OVER and before is not Stage.ASKED
+        return actions
 
 
 class Sessions:
@@ -136,33 +138,33 @@
 
     def __init__(self) -> None:
         self.by_number: dict[int, Session] = {}
-        self._at: dict[bytes, dict[int, Session]] = {}
-        self._number = 0
+        self._playing_by_host: dict[bytes, dict[int, Session]] = {}
+        self._last_number = 0
 
-    def open(self, ask: Ask, deadline: int, effect: Effect) -> Session:
+    def open(self, request: ViewerRequest, deadline: int, effect: Effect) -> Session:
         """Open a session with the next number."""
-        self._number += 1
-        session = self.by_number[self._number] = Session(self._number, ask, deadline, effect)
+        self._last_number += 1
+        session = self.by_number[self._last_number] = Session(self._last_number, request, deadline, effect)
         return session
 
     def get(self, number: int) -> Session | None:
         """Return an open session, None if there is none of that number."""
         return self.by_number.get(number)
 
-    def plays(self, session: Session, server: bytes) -> None:
+    def add_playing(self, session: Session, server: bytes) -> None:
         """Index a session that started to play at its host."""
-        self._at.setdefault(server, {})[session.number] = session
+        self._playing_by_host.setdefault(server, {})[session.number] = session
 
-    def at(self, server: bytes) -> dict[int, Session]:
+    def playing_at(self, server: bytes) -> dict[int, Session]:
         """Return the sessions that play at a host; the caller must not change the mapping."""
-        return self._at.get(server, {})
+        return self._playing_by_host.get(server, {})
 
-    def forget(self, session: Session) -> None:
+    def remove(self, session: Session) -> None:
         """Remove a closed session from both indexes."""
         self.by_number.pop(session.number, None)
         if session.server is not None:
-            at = self._at.get(session.server)
+            at = self._playing_by_host.get(session.server)
             if at is not None:
                 at.pop(session.number, None)
                 if not at:
-                    del self._at[session.server]
+                    del self._playing_by_host[session.server]
--- a/mintmast/fronts/dash/front.py
+++ b/mintmast/fronts/dash/front.py
@@ -14,7 +14,7 @@
 
 from mintmast.config import Config, Title
 from mintmast.core.service import Core
-from mintmast.decisions.messages import Ask, Give, Steer, Verdict
+from mintmast.decisions.messages import ViewerRequest, AnswerRequest, AnswerPoll, Verdict
 from mintmast.fronts.dash.manifest import Manifests, Shape, iso_time
 from mintmast.fronts.tokens import AccessTokens, Keys, SessionTokens, TokenError, Viewer
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
@@ -75,11 +75,11 @@
         match = _PATH.match(exchange.path)
         title = self.config.titles.get(match[1]) or self.gone.get(match[1]) if match else None
         if title is None:
-            exchange.problem(404, "no such title" if match else "no such path")
+            exchange.respond_problem(404, "no such title" if match else "no such path")
         elif exchange.method == "OPTIONS":
             exchange.respond(204, [("Allow", "GET, HEAD, OPTIONS")])
         elif exchange.method not in ("GET", "HEAD"):
-            exchange.problem(405, "only GET and HEAD", headers=[("Allow", "GET, HEAD, OPTIONS")])
+            exchange.respond_problem(405, "only GET and HEAD", headers=[("Allow", "GET, HEAD, OPTIONS")])
         else:
             self._manifest(exchange, title)
 
@@ -89,16 +89,16 @@
         except TokenError as error:
             status = 403 if error.forbidden else 401
             challenge = [("WWW-Authenticate", 'Bearer error="invalid_token"')] if status == 401 else []
-            exchange.problem(status, str(error), headers=challenge)
+            exchange.respond_problem(status, str(error), headers=challenge)
             return
         key = exchange.headers.get("idempotency-key", "").strip().strip('"') or viewer.key
         if len(key) > _KEY_LENGTH:
-            exchange.problem(400, "idempotency key too long")
+            exchange.respond_problem(400, "idempotency key too long")
             return
         if key:
             key = f"{viewer.tenant}/{viewer.subject}/{viewer.service}/{title.name}/{key}"
-        if title.name not in self.config.titles and not self.core.book.holds(key, title.number):
-            exchange.problem(404, "no such title")  # it is gone but for those who watch it
+        if title.name not in self.config.titles and not self.core.book.has_session(key, title.number):
+            exchange.respond_problem(404, "no such title")  # it is gone but for those who watch it
             return
         if exchange.method == "HEAD":  # the head alone must not set a session up
             exchange.respond(200, [("Content-Type", _TYPE), _NO_STORE])
@@ -108,21 +108,23 @@
         wait = _WAIT.search(exchange.headers.get("prefer", ""))
         if wait:
             budget = min(budget, int(float(wait[1]) * 1e6))
-        ask = Ask(
-            ask=0,
+        ask = ViewerRequest(
+            request_id=0,
             service=service,
             tenant=self.config.tenants.get(viewer.tenant, 0),
             title=title.number,
             home_cell=title.home,
             copies=title.copies,
             best_rung=min(viewer.best_rung, len(self.config.settings.rung_kb) - 1),
-            budget=max(0, budget - self._margin),
+            timeout=max(0, budget - self._margin),
             key=key,
             length=0 if title.live else int(title.seconds * 1e6),
-            again=exchange.headers.get("mintmast-again") == "1",
+            is_retry=exchange.headers.get("mintmast-again") == "1",
         )
-        number = self.core.ask(ask, lambda give: self._answer(exchange, title, service, ask.best_rung, give))
-        exchange.on_gone = lambda: self.core.gone(number)
+        number = self.core.request_session(
+            ask, lambda give: self._answer(exchange, title, service, ask.best_rung, give)
+        )
+        exchange.on_disconnect = lambda: self.core.cancel_request(number)
 
     def _viewer(self, exchange: Exchange, title: Title) -> Viewer:
         scheme, _, token = exchange.headers.get("authorization", "").partition(" ")
@@ -139,21 +141,23 @@
             raise TokenError("the token is for another title", forbidden=True)
         return viewer
 
-    def _answer(self, exchange: Exchange, title: Title, service: int, best: int, give: Give) -> None:
+    def _answer(self, exchange: Exchange, title: Title, service: int, best: int, give: AnswerRequest) -> None:
         if give.verdict is Verdict.PLAYS:
             exchange.respond(*self._playing(title, service, best, give))
         elif give.verdict is Verdict.REFUSED:
-            advice = [("Retry-After", str(max(1, math.ceil(give.advice / 1e6))))]
-            if give.advice:
-                advice.append(("Mintmast-Retry-Ms", str(give.advice // 1000)))
-            exchange.problem(
+            advice = [("Retry-After", str(max(1, math.ceil(give.retry_after / 1e6))))]
+            if give.retry_after:
+                advice.append(("Mintmast-Retry-Ms", str(give.retry_after // 1000)))
+            exchange.respond_problem(
                 503, "refused", f"{give.reason}; it did not run and may be asked for again", advice
             )
-        elif give.elsewhere:  # RFC 9110, 15.5.20: whoever asked may ask again over another connection
-            exchange.problem(421, "failed", f"{give.reason} here; nothing was sent, ask another gateway")
+        elif give.try_elsewhere:  # RFC 9110, 15.5.20: whoever asked may ask again over another connection
+            exchange.respond_problem(
+                421, "failed", f"{give.reason} here; nothing was sent, ask another gateway"
+            )
         else:
             late = give.reason == "time is up"
-            exchange.problem(504 if late else 502, "failed", f"{give.reason}; it may have run")
+            exchange.respond_problem(504 if late else 502, "failed", f"{give.reason}; it may have run")
 
     def _steer(self, exchange: Exchange) -> None:
         """Answer a steering request (ETSI TS 103 998, 5): held while the session moves, if it does.
@@ -163,7 +167,7 @@
         try:
             claims = self.sessions.check(exchange.query.get("token", ""), self.loop.wall())
         except TokenError as error:
-            exchange.problem(401, str(error))
+            exchange.respond_problem(401, str(error))
             return
         told = _BUFFER.search(exchange.query.get("CMCD", ""))
         buffer = int(told[1]) * 1000 if told else 0
@@ -171,19 +175,19 @@
         name = str(claims["ttl"])
         title = self.config.titles.get(name) or self.gone.get(name)
         if title is None:
-            exchange.problem(410, "the title is no more")
+            exchange.respond_problem(410, "the title is no more")
             return
-        poll = self.core.poll(
+        poll = self.core.poll_session(
             str(claims["sid"]), buffer, hold, lambda answer: self._steered(exchange, title, claims, answer)
         )
-        exchange.on_gone = lambda: self.core.poll_gone(poll)
+        exchange.on_disconnect = lambda: self.core.cancel_poll(poll)
 
-    def _steered(self, exchange: Exchange, title: Title, claims: dict[str, Any], answer: Steer) -> None:
-        if answer.over:
-            exchange.problem(410, "the session is over")
+    def _steered(self, exchange: Exchange, title: Title, claims: dict[str, Any], answer: AnswerPoll) -> None:
+        if answer.is_closed:
+            exchange.respond_problem(410, "the session is over")
             return
         host, first = answer.server.decode(), str(claims["hst"])
-        top = min(answer.best_rung, self.core.service(answer.session, answer.service).top)
+        top = min(answer.best_rung, self.core.service_class(answer.session, answer.service).top)
         token = self._token(title, top, answer)
         manifest: dict[str, Any] = {
             "VERSION": 1,
@@ -205,16 +209,16 @@
             200, [("Content-Type", "application/json"), _NO_STORE], msgspec.json.encode(manifest)
         )
 
-    def _token(self, title: Title, top: int, answer: Give | Steer) -> str:
+    def _token(self, title: Title, top: int, answer: AnswerRequest | AnswerPoll) -> str:
         until = self.loop.wall() + title.seconds + self.config["tokens"]["session_s"]
-        name, host = self.core.name(answer.session), answer.server.decode()
+        name, host = self.core.session_name(answer.session), answer.server.decode()
         return self.sessions.sign(name, title.name, host, top, answer.epoch, until)
 
     def _playing(
-        self, title: Title, service: int, best: int, give: Give
+        self, title: Title, service: int, best: int, give: AnswerRequest
     ) -> tuple[int, list[tuple[str, str]], bytes]:
         settings = self.config.settings
-        kind = self.core.service(give.session, service)
+        kind = self.core.service_class(give.session, service)
         top = min(best, kind.top)
         host, token = give.server.decode(), self._token(title, top, give)
         shape = Shape(
--- a/mintmast/gateway.py
+++ b/mintmast/gateway.py
@@ -14,15 +14,15 @@
 from mintmast.core import Core
 from mintmast.core.ports import StorePort
 from mintmast.decide import Controller
-from mintmast.decisions.gateways.records import Recovered, Written
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.records import RecoveredState, RecordsWritten
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.fronts.dash import DashFront
 from mintmast.hosts.media import MediaHosts
 from mintmast.http.client import ClientLimits
 from mintmast.http.server import Exchange, HttpServer
 from mintmast.loop import Loop
-from mintmast.peers import PeerLines, Roster, address_of
+from mintmast.peers import PeerTransport, MembershipTransport, parse_address
 from mintmast.sources.eureka import Registration
 from mintmast.sources.fixed import FixedList, SavedList
 from mintmast.sources.merged import MergedList
@@ -36,9 +36,9 @@
     """What the gateway asks of an opened store."""
 
     start: int
-    kept: Recovered
+    kept: RecoveredState
 
-    def attach(self, written: Callable[[Written], None], say: Callable[..., None]) -> None:
+    def attach(self, written: Callable[[RecordsWritten], None], say: Callable[..., None]) -> None:
         """Tell who hears the end of writes, and who takes log lines."""
 
 
@@ -155,30 +155,39 @@
             self.registration.start()
         if store is not None:
             self.core.store = store
-            store.attach(self.core.written, self.say)
-        self.core.begin(None if store is None else store.kept)
+            store.attach(self.core.handle_written, self.say)
+        self.core.start(None if store is None else store.kept)
         if store is not None:
             for name, (known, forgotten) in store.kept.members.items():
                 if forgotten and self.roster is not None:
                     self.roster.forget(name, known)
-            store.kept = Recovered()  # what is needed of it is held elsewhere by now
+            store.kept = RecoveredState()  # what is needed of it is held elsewhere by now
         self.say("serving", port=self.dash.server.port, start=start, hosts=len(config.entries))
 
     def _meet(self, told: dict[str, Any], start: int, seed: int) -> None:
         """Open the ways to the other gateways."""
-        members = {each["name"]: address_of(each["address"]) for each in told["members"]}
+        members = {each["name"]: parse_address(each["address"]) for each in told["members"]}
         name = self.config["gateway"]
         place = told.get("advertise", "")
         if place:
-            members[name] = address_of(place)
+            members[name] = parse_address(place)
         listen = told.get("listen", {}).get("host", members[name][0]), members[name][1]
         secrets = told["secrets"]
-        peers = PeerLines(self.loop, name, start, members, secrets, told["skew_s"], self.core, listen)
+        peers = PeerTransport(self.loop, name, start, members, secrets, told["skew_s"], self.core, listen)
         self.peers = self.core.peers = peers
-        self.roster = Roster(
-            self.loop, name, start, members, secrets, listen, seed, self.say, self.core.stands, place
+        self.roster = MembershipTransport(
+            self.loop,
+            name,
+            start,
+            members,
+            secrets,
+            listen,
+            seed,
+            self.say,
+            self.core.handle_membership,
+            place,
         )
-        peers.roster = self.roster.called
+        peers.answer_gossip = self.roster.handle_request
 
     def say(self, event: str, **fields: Any) -> None:
         """Pass a log event to the log, the metrics and the traces."""
@@ -197,15 +206,15 @@
             self._operate(exchange)
             return
         if exchange.path != "/metrics":
-            exchange.problem(404, "no such path")
+            exchange.respond_problem(404, "no such path")
             return
         self.metrics.held.set(self.core.book.held)
-        self.metrics.late.set(self.core.book.set_ups.late)
+        self.metrics.late.set(self.core.book.set_ups.late_starts)
         if self.core.store is not None:
             self.metrics.store(self.core.store.failing, self.core.store.size)
-            self.metrics.unsettled.set(self.core.book.recovery.open)
+            self.metrics.unsettled.set(self.core.book.recovery.unsettled_count)
         if self.roster is not None:
-            self.metrics.roster(self.members(), [each.name.lower() for each in Proof])
+            self.metrics.roster(self.members(), [each.name.lower() for each in Liveness])
         if self.configuring is not None:
             self.metrics.configuration(self.configuring.state())
         exchange.respond(200, [("Content-Type", "text/plain; version=0.0.4")], self.metrics.text())
@@ -215,7 +224,7 @@
         wanted = self.config["admin"].get("token")
         shown = exchange.headers.get("authorization", "").removeprefix("Bearer ")
         if wanted is None or not hmac.compare_digest(shown.encode(), wanted.encode()):
-            exchange.problem(401, "the operators' token is needed")
+            exchange.respond_problem(401, "the operators' token is needed")
         elif self.configuring is not None and exchange.path.startswith("/v1/configuration"):
             self.configuring.operate(exchange)
         elif exchange.path == "/v1/moves" and exchange.method == "GET":
@@ -231,7 +240,7 @@
         elif exchange.path == "/v1/drains" and exchange.method == "POST":
             self._drain(exchange)
         else:
-            exchange.problem(
+            exchange.respond_problem(
                 405, "POST /v1/drains, /v1/members/forget, GET /v1/moves, /v1/sources, /v1/members"
             )
 
@@ -239,10 +248,10 @@
         try:
             order = msgspec.json.decode(exchange.body, type=ForgetOrder)
         except msgspec.DecodeError as error:
-            exchange.problem(400, f"not an order to forget: {error}")
+            exchange.respond_problem(400, f"not an order to forget: {error}")
             return
         if self.roster is None or not self.roster.forget(order.name):
-            exchange.problem(404, f"{order.name} is no other gateway of this region")
+            exchange.respond_problem(404, f"{order.name} is no other gateway of this region")
             return
         _tell(exchange, self.members())
 
@@ -250,13 +259,13 @@
         """Tell what is believed of the other gateways, and what this one does as a witness of paid keys."""
         if self.roster is None:
             return {}
-        return {**self.roster.state(), "witness": self.core.book.claims.part.state()}
+        return {**self.roster.state(), "witness": self.core.book.claims.witness_service.state()}
 
     def _drain(self, exchange: Exchange) -> None:
         try:
             order = msgspec.json.decode(exchange.body, type=DrainOrder)
         except msgspec.DecodeError as error:
-            exchange.problem(400, f"not a drain order: {error}")
+            exchange.respond_problem(400, f"not a drain order: {error}")
             return
         within = None if order.within_s is None else int(order.within_s * 1e6)
 
@@ -264,28 +273,30 @@
             if good:
                 _tell(exchange, self.moves())
             else:
-                exchange.problem(503, "it holds, but not over a restart: records cannot be written")
+                exchange.respond_problem(503, "it holds, but not over a restart: records cannot be written")
 
         if not self.core.order_drain(order.host.encode(), order.on, within, taken):
-            exchange.problem(404, f"{order.host} is on no list")
+            exchange.respond_problem(404, f"{order.host} is on no list")
 
     def moves(self) -> dict[str, Any]:
         """Tell what drains, what is under way and what holds each drain."""
         book = self.core.book
         hosts = {}
-        for server in book.watch.hosts:
-            if not book.watch.to_leave(server):
+        for server in book.host_watch.hosts:
+            if not book.host_watch.should_vacate(server):
                 continue
-            here = book.sessions.at(server)
+            here = book.sessions.playing_at(server)
             hosts[server.decode()] = {
                 "sessions": len(here),
                 "moving": {
-                    self.core.name(n): stage.value for n in here if (stage := book.moves.stage(n)) is not None
+                    self.core.session_name(n): stage.value
+                    for n in here
+                    if (stage := book.moves.stage_of(n)) is not None
                 },
                 "held_by": {
-                    self.core.name(n): book.moves.reasons.get(n, "its player has not asked")
+                    self.core.session_name(n): book.moves.stay_reasons.get(n, "its player has not asked")
                     for n in list(here)[:100]
-                    if not book.moves.moving(n)
+                    if not book.moves.is_moving(n)
                 },
             }
         return {"draining": hosts, "counts": book.moves.counts}
--- a/mintmast/hosts/media.py
+++ b/mintmast/hosts/media.py
@@ -9,27 +9,27 @@
 
 import msgspec
 
-from mintmast.core.ports import HostEvents, Order
-from mintmast.decisions.messages import NOTHING, Told
-from mintmast.decisions.outcomes import Evidence, Word, may_have_run
+from mintmast.core.ports import HostEvents, SetUpRequest
+from mintmast.decisions.messages import NO_STATUS, HostStatus
+from mintmast.decisions.outcomes import Evidence, HostReport, may_have_run
 from mintmast.hosts.protocol import CLOCK, LOAD, NEVER_RAN, read_load
-from mintmast.http.client import DEFAULT, Address, Call, ClientLimits, Fault, HttpClient, Reply
+from mintmast.http.client import DEFAULT_LIMITS, Address, Call, ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.http.events import EventReader
 from mintmast.http.server import Headers
 from mintmast.interface import NoteKind
 from mintmast.loop import Loop, Timer
 
 _EVIDENCE = {
-    Fault.REFUSED: Evidence.REFUSED,
-    Fault.NOT_CONNECTED: Evidence.NOT_CONNECTED,
-    Fault.CUT_UNSENT: Evidence.CUT_UNSENT,
-    Fault.CUT: Evidence.CUT,
-    Fault.CUT_REPLY: Evidence.CUT_REPLY,
-    Fault.SILENT: Evidence.SILENT,
-    Fault.LATE_UNSENT: Evidence.LATE_UNSENT,
-    Fault.MALFORMED: Evidence.BAD_REPLY,
-    Fault.CALLED_OFF: Evidence.CALLED_OFF,
-    Fault.CALLED_OFF_UNSENT: Evidence.CALLED_OFF_UNSENT,
+    CallFailure.REFUSED: Evidence.REFUSED,
+    CallFailure.NOT_CONNECTED: Evidence.NOT_CONNECTED,
+    CallFailure.CUT_UNSENT: Evidence.CUT_UNSENT,
+    CallFailure.CUT: Evidence.CUT,
+    CallFailure.CUT_REPLY: Evidence.CUT_REPLY,
+    CallFailure.SILENT: Evidence.SILENT,
+    CallFailure.LATE_UNSENT: Evidence.LATE_UNSENT,
+    CallFailure.MALFORMED: Evidence.BAD_REPLY,
+    CallFailure.CALLED_OFF: Evidence.CALLED_OFF,
+    CallFailure.CALLED_OFF_UNSENT: Evidence.CALLED_OFF_UNSENT,
 }
 _NOTES = {"delivered": NoteKind.DELIVERED, "link": NoteKind.LINK, "uplink": NoteKind.UPLINK}
 
@@ -40,9 +40,9 @@
     return host, int(port)
 
 
-def evidence_of(reply: Reply | Fault) -> Evidence:
+def evidence_of(reply: Reply | CallFailure) -> Evidence:
     """Tell what a set-up's call showed; see `decisions/outcomes.py` for what each means."""
-    if isinstance(reply, Fault):
+    if isinstance(reply, CallFailure):
         return _EVIDENCE[reply]
     mark = reply.headers.get(NEVER_RAN.lower())
     if reply.status in (200, 201):
@@ -67,7 +67,7 @@
         gateway: str,
         start: int,
         fields: tuple[str, ...],
-        limits: ClientLimits = DEFAULT,
+        limits: ClientLimits = DEFAULT_LIMITS,
         silent: int = 3_000_000,
     ) -> None:
         self.loop, self.fields, self.silent = loop, fields, silent
@@ -81,51 +81,53 @@
         """Tell who hears what hosts say."""
         self._events = events
 
-    def set_up(self, order: Order, done: Callable[[Evidence, Told], None]) -> None:
+    def set_up(self, order: SetUpRequest, done: Callable[[Evidence, HostStatus], None]) -> None:
         """Ask a host for a session."""
         body = {
             "title": order.title,
             "rung": order.rung,
             "best_rung": order.best_rung,
-            "kb": order.kb,
+            "kb": order.rate_kb,
             "epoch": order.epoch,
             "lease_ms": order.lease // 1000,
             "paid": order.paid,
             "key": order.key,
             "who": self._who,
-            "call": order.number,
+            "call": order.call_number,
             "from": order.moved_from,
             "clock": order.clock,
         }
         key = order.session, order.attempt
 
-        def ended(reply: Reply | Fault) -> None:
+        def ended(reply: Reply | CallFailure) -> None:
             self._out.pop(key, None)
             done(evidence_of(reply), self._told(reply))
 
         headers = [("Idempotency-Key", f'"{order.session}/{order.epoch}"')]
         self._out[key] = self._call(order.server, "PUT", order.session, ended, order.until, body, headers)
 
-    def call_off(self, session: str, attempt: int) -> None:
+    def cancel_set_up(self, session: str, attempt: int) -> None:
         """Break off a set-up."""
         call = self._out.pop((session, attempt), None)
         if call is not None:
             call.cancel()
 
-    def rung(self, server: bytes, session: str, epoch: int, rung: int, kb: float) -> None:
+    def set_rung(self, server: bytes, session: str, epoch: int, rung: int, kb: float) -> None:
         """Tell a host the rung of a session; a lost one is mended by the next."""
         body = {"epoch": epoch, "rung": rung, "kb": kb}
         self._call(server, "PATCH", session, lambda reply: None, self.loop.now() + self.silent, body)
 
-    def end(self, server: bytes, session: str, epoch: int, until: int, done: Callable[[bool], None]) -> None:
+    def end_session(
+        self, server: bytes, session: str, epoch: int, until: int, done: Callable[[bool], None]
+    ) -> None:
         """End a session's epochs up to this one."""
 
-        def ended(reply: Reply | Fault) -> None:
+        def ended(reply: Reply | CallFailure) -> None:
             done(isinstance(reply, Reply) and reply.status in (200, 204))
 
         self._call(server, "DELETE", f"{session}?epoch={epoch}", ended, until)
 
-    def renew(
+    def renew_leases(
         self,
         server: bytes,
         sessions: tuple[tuple[str, int, int, float], ...],
@@ -133,11 +135,11 @@
         until: int,
         number: int,
         clock: int,
-        done: Callable[[bool, bool, tuple[str, ...], Told], None],
+        done: Callable[[bool, bool, tuple[str, ...], HostStatus], None],
     ) -> None:
         """Renew leases."""
 
-        def ended(reply: Reply | Fault) -> None:
+        def ended(reply: Reply | CallFailure) -> None:
             answered = isinstance(reply, Reply) and reply.status == 200
             unknown: tuple[str, ...] = ()
             if isinstance(reply, Reply) and answered:
@@ -152,7 +154,7 @@
         body = {"lease_ms": lease // 1000, "call": number, "clock": clock, "sessions": told, "who": self._who}
         self._call(server, "POST", "", ended, until, body, path="/v1/leases")
 
-    def settle(
+    def reconcile_sessions(
         self,
         server: bytes,
         sessions: dict[str, int],
@@ -160,12 +162,12 @@
         until: int,
         number: int,
         clock: int,
-        done: Callable[[int, tuple[tuple[str, Word, int], ...], Told], None],
+        done: Callable[[int, tuple[tuple[str, HostReport, int], ...], HostStatus], None],
     ) -> None:
         """Ask after sessions of earlier lives, and take over those which play."""
 
-        def ended(reply: Reply | Fault) -> None:
-            if isinstance(reply, Fault) or reply.status != 200:
+        def ended(reply: Reply | CallFailure) -> None:
+            if isinstance(reply, CallFailure) or reply.status != 200:
                 done(-1, (), self._told(reply))
                 return
             told = _read(reply.body)
@@ -195,18 +197,18 @@
         if self._lines.get(line.server) is line:
             del self._lines[line.server]
 
-    def _told(self, reply: Reply | Fault) -> Told:
-        if isinstance(reply, Fault):
-            return NOTHING
+    def _told(self, reply: Reply | CallFailure) -> HostStatus:
+        if isinstance(reply, CallFailure):
+            return NO_STATUS
         load = read_load(reply.headers.get(LOAD, ""), self.fields)
-        return Told(load, _reading(reply.headers.get(CLOCK.lower(), "")))
+        return HostStatus(load, _reading(reply.headers.get(CLOCK.lower(), "")))
 
     def _call(
         self,
         server: bytes,
         method: str,
         target: str,
-        done: Callable[[Reply | Fault], None],
+        done: Callable[[Reply | CallFailure], None],
         until: int,
         body: dict[str, Any] | None = None,
         headers: Headers | None = None,
@@ -226,12 +228,12 @@
     return int(text) if text.isascii() and text.isdigit() and len(text) < 19 else -1
 
 
-def _word(told: object) -> tuple[Word, int] | None:
+def _word(told: object) -> tuple[HostReport, int] | None:
     """Give what a host tells of one session, and its rung; None for what is none."""
     if not isinstance(told, dict):
         return None
     try:
-        word = Word(told.get("state"))
+        word = HostReport(told.get("state"))
     except ValueError:
         return None
     rung = told.get("rung", 0)
@@ -263,7 +265,7 @@
             target,
             self._ended,
             [("Accept", "text/event-stream")],
-            on_head=self._head,
+            on_headers=self._head,
             on_chunk=self._chunk,
         )
         self._heard()
@@ -275,7 +277,7 @@
 
     def _silent(self) -> None:
         if self._call is not None:
-            self._call.stop(Fault.SILENT)
+            self._call.fail(CallFailure.SILENT)
 
     def _head(self, status: int, headers: dict[str, str]) -> None:
         if status != 200:
@@ -296,28 +298,28 @@
             process = str(fields.get("process", ""))[:100]
             age_us = int(age * 1000) if known else None
             clock = _reading(fields.get("clock", ""))
-            self._events.hello(self.server, process, age_us, fields.get("drains") is True, clock)
+            self._events.host_connected(self.server, process, age_us, fields.get("drains") is True, clock)
         elif not self._said_hello:
             return
         elif kind == "tick":
-            self._events.tick(self.server, _reading(fields.get("clock", "")))
+            self._events.host_heartbeat(self.server, _reading(fields.get("clock", "")))
         elif kind == "drain":
-            self._events.drain(self.server, fields.get("drains") is True)
+            self._events.host_drain_changed(self.server, fields.get("drains") is True)
         elif kind == "ended":
-            self._events.ended(self.server, str(fields.get("session", "")))
+            self._events.session_ended(self.server, str(fields.get("session", "")))
         elif kind in _NOTES:
             value = fields.get("value")
             if isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value):
-                self._events.note(self.server, _NOTES[kind], float(value))
+                self._events.host_measured(self.server, _NOTES[kind], float(value))
 
-    def _ended(self, reply: Reply | Fault) -> None:
+    def _ended(self, reply: Reply | CallFailure) -> None:
         if self._over:
             return
         self._over = True
         if self._timer is not None:
             self._timer.cancel()
         self._hosts.line_over(self)
-        self._events.lost(self.server, reply is Fault.REFUSED)
+        self._events.host_disconnected(self.server, reply is CallFailure.REFUSED)
 
     def close(self) -> None:
         """Close it without a word to the core."""
--- a/mintmast/http/events.py
+++ b/mintmast/http/events.py
@@ -8,26 +8,28 @@
 import msgspec
 
 # bytes of one event; a longer one is from no sender of ours
-MOST = 65_536
+MAX_EVENT_BYTES = 65_536
 
 
 class EventReader:
     """Reads `event` and `data` fields; other fields and comments are passed over."""
 
-    def __init__(self, take: Callable[[str, dict[str, Any]], None], most: int = MOST) -> None:
-        self._take, self._most = take, most
-        self._rest = b""
+    def __init__(
+        self, on_event: Callable[[str, dict[str, Any]], None], max_bytes: int = MAX_EVENT_BYTES
+    ) -> None:
+        self._take, self._max_bytes = on_event, max_bytes
+        self._partial_line = b""
         self._kind = ""
         self._data: list[str] = []
         self._size = 0
 
     def feed(self, data: bytes) -> bool:
         """Take bytes; False where they are no events and the line had better be closed."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > self._most:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > self._max_bytes:
             return False
         for raw in lines:
-            if len(raw) > self._most:
+            if len(raw) > self._max_bytes:
                 return False
             line = raw.rstrip(b"\r").decode("utf-8", "replace")
             if not line:
@@ -41,7 +43,7 @@
             elif name == "data":
                 self._data.append(value)
                 self._size += len(value)
-                if self._size > self._most:
+                if self._size > self._max_bytes:
                     return False
         return True
 
--- a/mintmast/http/server.py
+++ b/mintmast/http/server.py
@@ -18,11 +18,11 @@
 
 import httptools
 
-from mintmast.loop import Close, Handler, Loop, Stream, Timer
+from mintmast.loop import CloseReason, Handler, Loop, Stream, Timer
 
 Headers = list[tuple[str, str]]
 # header lines of one request: browsers send twenty or so
-MOST_FIELDS = 100
+MAX_HEADER_FIELDS = 100
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,24 +37,24 @@
     idle_time: int = 30_000_000
 
 
-DEFAULT = ServerLimits()
+DEFAULT_LIMITS = ServerLimits()
 
 
 class Exchange:
     """One request and its one answer; later answers are ignored, as the first has been given."""
 
     __slots__ = (
-        "_parts",
+        "_output",
         "body",
         "connection",
-        "done",
+        "is_answered",
         "headers",
-        "keep",
+        "keep_alive",
         "method",
-        "on_gone",
+        "on_disconnect",
         "path",
         "query",
-        "streaming",
+        "is_streaming",
         "target",
     )
 
@@ -66,55 +66,57 @@
         self.query: dict[str, str] = dict(parse_qsl(query, max_num_fields=32)) if query else {}
         self.headers: dict[str, str] = {}
         self.body = b""
-        self.keep = True
-        self.done = self.streaming = False
-        self.on_gone: Callable[[], None] | None = None
-        self._parts: list[bytes] = []
+        self.keep_alive = True
+        self.is_answered = self.is_streaming = False
+        self.on_disconnect: Callable[[], None] | None = None
+        self._output: list[bytes] = []
 
     def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
         """Give the one answer."""
-        if self.done:
+        if self.is_answered:
             return
-        self.done = True
-        self._parts.append(self._head(status, headers or [], len(body)))
+        self.is_answered = True
+        self._output.append(self._format_head(status, headers or [], len(body)))
         if self.method != "HEAD" and status != 304:
-            self._parts.append(body)
+            self._output.append(body)
         self.connection.flush()
 
-    def problem(self, status: int, title: str, detail: str = "", headers: Headers | None = None) -> None:
+    def respond_problem(
+        self, status: int, title: str, detail: str = "", headers: Headers | None = None
+    ) -> None:
         """Answer with problem details (RFC 9457)."""
-        told = {"type": "about:blank", "status": status, "title": title}
+        details = {"type": "about:blank", "status": status, "title": title}
         if detail:
-            told["detail"] = detail
-        body = json.dumps(told).encode()
+            details["detail"] = detail
+        body = json.dumps(details).encode()
         self.respond(status, [("Content-Type", "application/problem+json"), *(headers or [])], body)
 
-    def start(self, status: int, headers: Headers) -> None:
+    def start_stream(self, status: int, headers: Headers) -> None:
         """Begin an answer of unknown length, in chunks; `send` and `finish` follow."""
-        self.streaming = True
-        self._parts.append(self._head(status, headers, None))
+        self.is_streaming = True
+        self._output.append(self._format_head(status, headers, None))
         self.connection.flush()
 
-    def send(self, data: bytes) -> bool:
+    def send_chunk(self, data: bytes) -> bool:
         """Send a chunk; False where the peer lags behind."""
-        if self.done or not data:
+        if self.is_answered or not data:
             return True
-        self._parts.append(b"%x\r\n%b\r\n" % (len(data), data))
+        self._output.append(b"%x\r\n%b\r\n" % (len(data), data))
         return self.connection.flush()
 
-    def finish(self) -> None:
+    def finish_stream(self) -> None:
         """End a streamed answer."""
-        if not self.done:
-            self.done = True
-            self._parts.append(b"0\r\n\r\n")
+        if not self.is_answered:
+            self.is_answered = True
+            self._output.append(b"0\r\n\r\n")
             self.connection.flush()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection without an answer."""
-        self.done = True
+        self.is_answered = True
         self.connection.abort()
 
-    def _head(self, status: int, headers: Headers, length: int | None) -> bytes:
+    def _format_head(self, status: int, headers: Headers, length: int | None) -> bytes:
         try:
             reason = HTTPStatus(status).phrase
         except ValueError:
@@ -125,13 +127,13 @@
             lines.append("Transfer-Encoding: chunked")
         elif status not in (204, 304):
             lines.append(f"Content-Length: {length}")
-        if not self.keep:
+        if not self.keep_alive:
             lines.append("Connection: close")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
-    def take_parts(self) -> bytes:
+    def take_output(self) -> bytes:
         """Give what is ready to be written."""
-        data, self._parts = b"".join(self._parts), []
+        data, self._output = b"".join(self._output), []
         return data
 
 
@@ -150,7 +152,7 @@
         host: str,
         port: int,
         handle: Callable[[Exchange], None],
-        limits: ServerLimits = DEFAULT,
+        limits: ServerLimits = DEFAULT_LIMITS,
     ) -> None:
         self.loop, self.handle, self.limits = loop, handle, limits
         self.connections: dict[_Connection, None] = {}
@@ -170,12 +172,12 @@
         self._stream: Stream | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._queue: deque[Exchange] = deque()
-        self._now: Exchange | None = None  # being parsed
-        self._seen = self._size = self._head_lines = self._head_size = 0
+        self._parsing: Exchange | None = None  # being parsed
+        self._received_bytes = self._body_size = self._header_count = self._header_size = 0
         self._url = b""
-        self._closing = self._over = False
+        self._is_closing = self._is_closed = False
         self._timer: Timer | None = None
-        self._fields: dict[str, str] = {}
+        self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
 
     # From the loop
@@ -186,48 +188,48 @@
             stream.abort()
             return
         self._server.connections[self] = None
-        self._wait(self._server.limits.header_time)
+        self._set_timeout(self._server.limits.header_time)
 
     def received(self, data: bytes) -> None:
-        if self._closing:
+        if self._is_closing:
             return
-        self._seen += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            if self._seen > self._server.limits.header_bytes and self._now is None:
+            if self._received_bytes > self._server.limits.header_bytes and self._parsing is None:
                 raise _BadRequestError(431, "request header too large")
         except httptools.HttpParserUpgrade:
-            self._refuse(400, "upgrade is not offered")
+            self._reject(400, "upgrade is not offered")
         except _BadRequestError as bad:
-            self._refuse(bad.status, bad.reason)
+            self._reject(bad.status, bad.reason)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__ or error.__cause__
             if isinstance(cause, _BadRequestError):
-                self._refuse(cause.status, cause.reason)
+                self._reject(cause.status, cause.reason)
             else:
                 raise
         except httptools.HttpParserError:
-            self._refuse(400, "malformed request")
+            self._reject(400, "malformed request")
 
     def drained(self) -> None:
         self.flush()
 
-    def closed(self, reason: Close) -> None:
-        self._over = True
+    def closed(self, reason: CloseReason) -> None:
+        self._is_closed = True
         self._server.connections.pop(self, None)
-        self._wait(None)
+        self._set_timeout(None)
         for exchange in self._queue:
-            if not exchange.done:
-                exchange.done = True
-                if exchange.on_gone is not None:
-                    exchange.on_gone()
+            if not exchange.is_answered:
+                exchange.is_answered = True
+                if exchange.on_disconnect is not None:
+                    exchange.on_disconnect()
         self._queue.clear()
 
     # From the parser
 
     def on_message_begin(self) -> None:
-        self._fields, self._body, self._size, self._url = {}, [], 0, b""
-        self._head_lines = self._head_size = 0
+        self._headers, self._body, self._body_size, self._url = {}, [], 0, b""
+        self._header_count = self._header_size = 0
 
     def on_url(self, url: bytes) -> None:
         self._url += url
@@ -235,50 +237,50 @@
             raise _BadRequestError(414, "target too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._head_lines += 1
-        self._head_size += len(name) + len(value)
-        if self._head_lines > MOST_FIELDS or self._head_size > self._server.limits.header_bytes:
+        self._header_count += 1
+        self._header_size += len(name) + len(value)
+        if self._header_count > MAX_HEADER_FIELDS or self._header_size > self._server.limits.header_bytes:
             raise _BadRequestError(431, "request header too large")
         key = name.decode("latin-1").lower()
-        if key == "host" and key in self._fields:  # RFC 9112, 3.2
+        if key == "host" and key in self._headers:  # RFC 9112, 3.2
             raise _BadRequestError(400, "more than one Host field")
         told = value.decode("latin-1")
-        self._fields[key] = f"{self._fields[key]}, {told}" if key in self._fields else told
+        self._headers[key] = f"{self._headers[key]}, {told}" if key in self._headers else told
 
     def on_headers_complete(self) -> None:
-        length = self._fields.get("content-length", "0")
+        length = self._headers.get("content-length", "0")
         if not length.isdigit() or int(length) > self._server.limits.body_bytes:
             raise _BadRequestError(413, "body too large")
         if self._parser.get_http_version() not in ("1.1", "1.0"):
             raise _BadRequestError(505, "HTTP/1.1 is spoken here")
-        if self._parser.get_http_version() == "1.1" and "host" not in self._fields:
+        if self._parser.get_http_version() == "1.1" and "host" not in self._headers:
             raise _BadRequestError(400, "no Host field")
         try:
             target = self._url.decode("ascii")
         except UnicodeDecodeError:
             raise _BadRequestError(400, "target is not ASCII") from None
         try:
-            self._now = Exchange(self, self._parser.get_method().decode("ascii"), target)
+            self._parsing = Exchange(self, self._parser.get_method().decode("ascii"), target)
         except ValueError:
             raise _BadRequestError(400, "too many query fields") from None
-        if self._fields.get("expect", "").lower() == "100-continue" and self._stream is not None:
+        if self._headers.get("expect", "").lower() == "100-continue" and self._stream is not None:
             self._stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > self._server.limits.body_bytes:
+        self._body_size += len(body)
+        if self._body_size > self._server.limits.body_bytes:
             raise _BadRequestError(413, "body too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        exchange, self._now = self._now, None
-        self._seen = 0
-        if exchange is None or self._closing:
+        exchange, self._parsing = self._parsing, None
+        self._received_bytes = 0
+        if exchange is None or self._is_closing:
             return
-        exchange.headers, exchange.body = self._fields, b"".join(self._body)
-        exchange.keep = bool(self._parser.should_keep_alive())
+        exchange.headers, exchange.body = self._headers, b"".join(self._body)
+        exchange.keep_alive = bool(self._parser.should_keep_alive())
         self._queue.append(exchange)
-        self._wait(None)
+        self._set_timeout(None)
         if len(self._queue) >= self._server.limits.pipelined and self._stream is not None:
             self._stream.pause()
         self._server.handle(exchange)
@@ -287,23 +289,23 @@
 
     def flush(self) -> bool:
         """Write what is ready, in order; False where the peer lags behind."""
-        if self._over or self._stream is None:
+        if self._is_closed or self._stream is None:
             return False
         ready = True
-        while self._queue and not self._over:
+        while self._queue and not self._is_closed:
             first = self._queue[0]
-            ready = self._stream.write(first.take_parts())
-            if not first.done:
+            ready = self._stream.write(first.take_output())
+            if not first.is_answered:
                 return ready
             self._queue.popleft()
-            if not first.keep:
-                self._closing = True
+            if not first.keep_alive:
+                self._is_closing = True
                 self._stream.close()
                 return ready
         if len(self._queue) < self._server.limits.pipelined:
             self._stream.resume()
         if not self._queue:
-            self._wait(self._server.limits.idle_time)
+            self._set_timeout(self._server.limits.idle_time)
         return ready
 
     def abort(self) -> None:
@@ -311,21 +313,21 @@
         if self._stream is not None:
             self._stream.abort()
 
-    def _refuse(self, status: int, reason: str) -> None:
-        self._closing = True
+    def _reject(self, status: int, reason: str) -> None:
+        self._is_closing = True
         exchange = Exchange(self, "GET", "/")
-        exchange.keep = False
+        exchange.keep_alive = False
         self._queue.append(exchange)
-        exchange.problem(status, reason)
+        exchange.respond_problem(status, reason)
 
-    def _wait(self, span: int | None) -> None:
+    def _set_timeout(self, span: int | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
         loop = self._server.loop
-        self._timer = None if span is None else loop.call_at(loop.now() + span, self._late)
+        self._timer = None if span is None else loop.call_at(loop.now() + span, self._handle_timeout)
 
-    def _late(self) -> None:
-        if self._seen and not self._queue:
-            self._refuse(408, "request not complete in time")
+    def _handle_timeout(self) -> None:
+        if self._received_bytes and not self._queue:
+            self._reject(408, "request not complete in time")
         elif not self._queue:
             self.abort()
--- a/mintmast/interface.py
+++ b/mintmast/interface.py
@@ -62,7 +62,7 @@
     """A class of sessions."""
 
     effect: Effect
-    aim: int
+    target_time: int
     deadline: int
     worth: float
     scale: float = 1.0
@@ -104,23 +104,23 @@
     rung_worth: tuple[float, ...]
     links_kb: float
     weight_kb: float
-    weights_told: bool
+    has_weights: bool
     kind_streams: tuple[int, ...]
     cells: int
     racks: int
     uplink_kb: float
     guard: float
     shared_adds: float
-    live: tuple[bool, ...]
-    stall: float
+    class_is_live: tuple[bool, ...]
+    stall_cost: float
     change_costs_s: float
     note_age: int
     notes_every: int
     drain_grace: int
-    cold: int
-    cold_from: float
-    fall: int
-    fall_multiple: float
+    warm_up: int
+    warm_up_from: float
+    overload_window: int
+    overload_factor: float
     budget: AttemptBudget | None
     max_attempts: int
     max_retry_after: int
@@ -131,7 +131,7 @@
     cross_zone_cost: float = 0.0
     move_cost: float = 0.0
     handshake_cost: float = 0.0
-    line_idle: int = 0
+    idle_connection_time: int = 0
     connect_time: int = 0  # µs that a set-up may wait for its connection
 
 
@@ -176,7 +176,7 @@
     best_rung: int
     length_hint: int = 0
     moved: bool = False
-    again: bool = False
+    is_repeat: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -346,7 +346,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeers:
+class SendToPeers:
     """Send bytes to one peer, or to all with `peer` None."""
 
     payload: bytes
@@ -382,7 +382,7 @@
     | SetTimer
     | Probe
     | CloseIdle
-    | TellPeers
+    | SendToPeers
     | Subscribe
     | FetchList
     | Log
--- a/mintmast/lab/crowd.py
+++ b/mintmast/lab/crowd.py
@@ -15,8 +15,17 @@
 import msgspec
 
 from mintmast.decisions.gateways.members import Members
-from mintmast.decisions.gateways.roll import Changed, Heard, Member, Noted, Refused, SendWord, Tick, WakeAt
-from mintmast.decisions.gateways.standing import CONCLUSIONS, Proof
+from mintmast.decisions.gateways.membership_types import (
+    MemberChanged,
+    GossipReceived,
+    Member,
+    OperatorNotice,
+    ConnectionRefused,
+    SendGossip,
+    TimerFired,
+    ScheduleTimer,
+)
+from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 
 SECOND = 1_000_000
 # bytes beside a word's own: version, seal and what IP and UDP take
@@ -39,8 +48,8 @@
         self.vanished: set[str] = set()  # machines that say nothing, not even that a port is closed
         self.held: dict[str, list[tuple[Any, ...]]] = {}  # stopped processes and what waits for them
         self.parts: dict[str, Members] = {}
-        self.changes: list[tuple[int, str, Changed]] = []
-        self.noted: list[tuple[int, str, Noted]] = []
+        self.changes: list[tuple[int, str, MemberChanged]] = []
+        self.noted: list[tuple[int, str, OperatorNotice]] = []
         self.bytes = dict.fromkeys(self.names, 0)
         self.sent = dict.fromkeys(self.names, 0)
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -103,29 +112,29 @@
     def _carry(self, name: str, commands: list) -> None:
         life = self._lives[name]
         for command in commands:
-            if isinstance(command, WakeAt):
+            if isinstance(command, ScheduleTimer):
                 wait = max(0, command.at - self.now)
-                self._later(wait, self._take, name, life, Tick(command.at))
-            elif isinstance(command, SendWord):
+                self._later(wait, self._take, name, life, TimerFired(command.at))
+            elif isinstance(command, SendGossip):
                 self._send(name, command)
-            elif isinstance(command, Changed):
+            elif isinstance(command, MemberChanged):
                 self.changes.append((self.now, name, command))
             else:
                 self.noted.append((self.now, name, command))
 
-    def _send(self, name: str, command: SendWord) -> None:
+    def _send(self, name: str, command: SendGossip) -> None:
         self.sent[name] += 1
-        self.bytes[name] += len(msgspec.msgpack.encode(command.word)) + SEALED + HEADERS
+        self.bytes[name] += len(msgspec.msgpack.encode(command.message)) + SEALED + HEADERS
         wait = self.random.randint(*self.delay)
-        if command.sure:
+        if command.reliable:
             self._sure(name, command, wait)
             return
         for _ in range(1 + (self.random.random() < self.doubled)):
             if (name, command.to) not in self.cuts and self.random.random() >= self.loss:
-                self._later(wait, self._come, command.to, Heard(command.word))
+                self._later(wait, self._come, command.to, GossipReceived(command.message))
             wait = self.random.randint(*self.delay)
 
-    def _sure(self, name: str, command: SendWord, wait: int) -> None:
+    def _sure(self, name: str, command: SendGossip, wait: int) -> None:
         """Carry a word over TCP: losses cost time, a cut either way holds it up, a dead process refuses."""
         to = command.to
         if to in self.vanished or (name, to) in self.cuts or (to, name) in self.cuts:
@@ -133,11 +142,13 @@
         while self.random.random() < self.loss:
             wait += TCP_AGAIN
         if to in self.parts:
-            self._later(wait, self._come, to, Heard(command.word, True))
+            self._later(wait, self._come, to, GossipReceived(command.message, True))
         else:
-            self._later(wait, self._come, name, Refused(to, command.known, command.at))
+            self._later(
+                wait, self._come, name, ConnectionRefused(to, command.known_generation, command.sent_at)
+            )
 
-    def _come(self, name: str, event: Heard | Refused) -> None:
+    def _come(self, name: str, event: GossipReceived | ConnectionRefused) -> None:
         self._take(name, self._lives[name], event)
 
     def _take(self, name: str, life: int, event: Any) -> None:
@@ -146,18 +157,18 @@
         if name in self.held:
             self.held[name].append((life, event))
             return
-        self._carry(name, self.parts[name].take(self.now, event))
+        self._carry(name, self.parts[name].handle(self.now, event))
 
     # What is believed
 
-    def view(self, name: str) -> dict[str, Proof]:
+    def view(self, name: str) -> dict[str, Liveness]:
         """Give what a gateway believes of all others."""
-        return {other: each.proof for other, each in self.parts[name].others.items()}
+        return {other: each.liveness for other, each in self.parts[name].others.items()}
 
     def agree(self, among: tuple[str, ...] | None = None) -> bool:
         """Tell whether those who run (or those named) believe the same of each gateway."""
         names = [n for n in (among or self.names) if n in self.parts]
-        said: dict[str, set[Proof]] = {}
+        said: dict[str, set[Liveness]] = {}
         for name in names:
             for other, proof in self.view(name).items():
                 said.setdefault(other, set()).add(proof)
@@ -202,10 +213,10 @@
         crowd = self.crowd
         self.checked += 1
         lives = crowd.parts.get(other)
-        same = lives is not None and lives.own.start == member.standing.start
-        if same and CONCLUSIONS[member.proof].gone:
+        same = lives is not None and lives.own_status.generation == member.status.generation
+        if same and MEMBER_POLICIES[member.liveness].process_ended:
             self.faults.append(f"{crowd.now}: {name} takes {other} for gone, which lives")
-        wrong = member.proof is Proof.CONFIRMED and {name, other} <= self._well.keys()
+        wrong = member.liveness is Liveness.CONFIRMED and {name, other} <= self._well.keys()
         if not wrong:
             self._out.pop((name, other), None)
             return
--- a/mintmast/lab/drills/configuration.py
+++ b/mintmast/lab/drills/configuration.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Any
 
-from mintmast.http.client import Fault, Reply
+from mintmast.http.client import CallFailure, Reply
 from mintmast.lab.audit import Findings, Row
 from mintmast.lab.drills.day import FREE, PAID, Day, Drill
 from mintmast.lab.drills.members import CASES, START
@@ -34,7 +34,7 @@
     stage.client.call(stage.admin_place(number), method, path, told, headers, data, until)
 
 
-def _said(reply: Reply | Fault) -> dict[str, Any] | None:
+def _said(reply: Reply | CallFailure) -> dict[str, Any] | None:
     return json.loads(reply.body) if isinstance(reply, Reply) and reply.status == 200 else None
 
 
@@ -70,10 +70,10 @@
         told = partial(self._published, self._number)
         _call(self._stage, self._at, "POST", PATH, _change(self._draw, self._number), told)
 
-    def _taken(self, reply: Reply | Fault) -> None:
+    def _taken(self, reply: Reply | CallFailure) -> None:
         self._stage.record("taken_over", gateway=f"gw{self._at}", good=_said(reply) is not None)
 
-    def _published(self, number: int, reply: Reply | Fault) -> None:
+    def _published(self, number: int, reply: Reply | CallFailure) -> None:
         told = _said(reply)
         self._failed = 0 if told is not None else self._failed + 1
         if told is not None:
@@ -85,7 +85,7 @@
         _call(stage, number, "GET", PATH, None, partial(_head, stage, f"gw{number}", last))
 
 
-def _head(stage: Any, name: str, last: bool, reply: Reply | Fault) -> None:
+def _head(stage: Any, name: str, last: bool, reply: Reply | CallFailure) -> None:
     told = _said(reply)
     if told is not None:
         head = [told["term"], told["number"], told["digest"]]
--- a/mintmast/lab/drills/frame.py
+++ b/mintmast/lab/drills/frame.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from mintmast.decisions.sessions.moves import END_QUICK
+from mintmast.decisions.sessions.moves import MOVE_TERMINATION_TIMEOUT_US
 from mintmast.lab.audit import Findings, Terms, audit, membership, moves, worth
 from mintmast.lab.drills import bad_day, configuration, drain, files, kill, members, power, registry, roaming
 from mintmast.lab.drills.day import Day, Drill, model, settings
@@ -41,7 +41,7 @@
         span=rules["budget"]["span_ms"] * 1000,
         free=rules["budget"]["free"],
         ratio=rules["budget"]["ratio"],
-        under_way=conf["hosts"]["connect_ms"] * 1000 + END_QUICK,
+        under_way=conf["hosts"]["connect_ms"] * 1000 + MOVE_TERMINATION_TIMEOUT_US,
         lives=stage.stores,
     )
 
@@ -77,7 +77,7 @@
         if drill.links:
             _look(stage, day)
         stage.run(day.whole_s)
-        stage.record("unasked", place="viewers", times=stage.client.unasked)
+        stage.record("unsolicited", place="viewers", times=stage.client.unsolicited)
         if keep is not None:
             lines = "".join(json.dumps(row) + "\n" for row in stage.rows)
             Path(keep, f"{name}-{net}-{seed}.jsonl").write_text(lines, encoding="utf-8")
--- a/mintmast/lab/drills/members.py
+++ b/mintmast/lab/drills/members.py
@@ -40,28 +40,28 @@
 
 def one_way(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Cut one way between two gateways."""
-    return _ways(stage, at, at + draw.choice((1.0, 4.0, 8.0)), [_two(day, draw)], cut=True)
+    return _ways(stage, at, at + draw.choice((1.0, 4.0, 8.0)), [_two(day, draw)], is_cut=True)
 
 
 def unheard(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Let one hear the others, and nobody hear it."""
     one = draw.randrange(day.gateways)
     pairs = [pair for pair in _all(day) if pair[0] == one]
-    return _ways(stage, at, at + draw.choice((3.0, 8.0)), pairs, cut=True)
+    return _ways(stage, at, at + draw.choice((3.0, 8.0)), pairs, is_cut=True)
 
 
 def half(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Let exactly half of the others hear one."""
     one = draw.randrange(day.gateways)
     pairs = [pair for pair in _all(day) if pair[0] == one]
-    return _ways(stage, at, at + draw.choice((3.0, 8.0)), draw.sample(pairs, len(pairs) // 2), cut=True)
+    return _ways(stage, at, at + draw.choice((3.0, 8.0)), draw.sample(pairs, len(pairs) // 2), is_cut=True)
 
 
 def split(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Cut the region in two."""
     part = set(draw.sample(range(day.gateways), day.gateways // 2))
     pairs = [(a, b) for a, b in _all(day) if (a in part) != (b in part)]
-    return _ways(stage, at, at + draw.choice((3.0, 8.0)), pairs, cut=True)
+    return _ways(stage, at, at + draw.choice((3.0, 8.0)), pairs, is_cut=True)
 
 
 def flapping(stage: Any, day: Day, draw: random.Random, at: float) -> float:
@@ -70,28 +70,28 @@
     end = at + 9.0
     while at < end:
         gone = draw.uniform(0.3, 3.0)
-        _ways(stage, at, at + gone, [(one, other), (other, one)], cut=True)
+        _ways(stage, at, at + gone, [(one, other), (other, one)], is_cut=True)
         at += gone + draw.uniform(0.3, 3.0)
     return at
 
 
 def losses(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Lose a fifth of all datagrams."""
-    return _ways(stage, at, at + 12.0, _all(day), lost=0.2)
+    return _ways(stage, at, at + 12.0, _all(day), loss=0.2)
 
 
 def doubles(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Double a third of all datagrams, and let some come after later ones."""
     pairs = draw.sample(_all(day), day.gateways)
-    _ways(stage, at, at + 8.0, pairs, doubled=0.3, late=30_000)
+    _ways(stage, at, at + 8.0, pairs, duplication=0.3, extra_delay=30_000)
     rest = [pair for pair in _all(day) if pair not in pairs]
-    return _ways(stage, at, at + 8.0, rest, doubled=0.3)
+    return _ways(stage, at, at + 8.0, rest, duplication=0.3)
 
 
 def swallows(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Let connections between two stand open with nothing coming through."""
     one, other = _two(day, draw)
-    return _ways(stage, at, at + 6.0, [(one, other), (other, one)], swallows=True)
+    return _ways(stage, at, at + 6.0, [(one, other), (other, one)], is_black_hole=True)
 
 
 def resets(stage: Any, day: Day, draw: random.Random, at: float) -> float:
@@ -105,7 +105,7 @@
 def shorts(stage: Any, day: Day, draw: random.Random, at: float) -> float:
     """Cut writes in half and break their connections."""
     one, other = _two(day, draw)
-    return _ways(stage, at, at + 6.0, [(one, other), (other, one)], short=0.3)
+    return _ways(stage, at, at + 6.0, [(one, other), (other, one)], truncation=0.3)
 
 
 def stopped(stage: Any, day: Day, draw: random.Random, at: float) -> float:
@@ -176,7 +176,7 @@
     for number in [each for each in range(day.gateways) if each != one]:
         stage.at(end, kill_if_all_vote, stage, day, number, 0.3, one)
         end += 0.5 + START
-    _ways(stage, at, end, pairs, cut=True)
+    _ways(stage, at, end, pairs, is_cut=True)
     stage.at(end, kill_if_all_vote, stage, day, one, 0.3)
     return end + START
 
--- a/mintmast/lab/drills/roaming.py
+++ b/mintmast/lab/drills/roaming.py
@@ -111,7 +111,7 @@
     """Let a gateway hear the others and not be heard by them."""
     for other in range(day.gateways):
         if other != gateway:
-            stage.way(gateway, other, cut=True)
+            stage.way(gateway, other, is_cut=True)
 
 
 def faulty(stage: Any, number: int, part: float) -> None:
--- a/mintmast/lab/drills/viewers.py
+++ b/mintmast/lab/drills/viewers.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from mintmast.http.client import Fault, Reply
+from mintmast.http.client import CallFailure, Reply
 from mintmast.lab.drills.day import FREE, LADDER, PAID, TRIES, Day
 from mintmast.player import Player, Report
 
@@ -82,7 +82,7 @@
                 key=f"{drawn['tenant']}/viewer-{number}/{drawn['service']}/{drawn['title']}/{key}",
             )  # fmt: skip
 
-        def answered(reply: Reply | Fault) -> None:
+        def answered(reply: Reply | CallFailure) -> None:
             self._misuse(drawn, reply)
 
         headers = [("Authorization", f"Bearer {token}")]
@@ -140,9 +140,9 @@
             "wish_over", service=drawn["service"], worth_asked=asked, worth_answered=min(asked, answered)
         )
 
-    def _misuse(self, drawn: dict[str, Any], reply: Reply | Fault) -> None:
+    def _misuse(self, drawn: dict[str, Any], reply: Reply | CallFailure) -> None:
         """Try a good token on another rung or host: every one of these must be turned away."""
-        if not drawn["misuses"] or isinstance(reply, Fault) or reply.status != 200:
+        if not drawn["misuses"] or isinstance(reply, CallFailure) or reply.status != 200:
             return
         base = reply.body.partition(b"<BaseURL")[2].partition(b">")[2].partition(b"<")[0].decode()
         authority, _, path = base.removeprefix("http://").partition("/")
@@ -153,7 +153,7 @@
         for place, target in tries:
             host, _, port = place.rpartition(":")
 
-            def done(answer: Reply | Fault) -> None:
+            def done(answer: Reply | CallFailure) -> None:
                 if isinstance(answer, Reply):
                     self.measures["tokens_misused"] += 1
                     self.measures["misuse_accepted"] += answer.status < 400
@@ -169,8 +169,8 @@
     on_reply: Any = None
     _told = False
 
-    def _answered(self, reply: Reply | Fault) -> None:
-        if not isinstance(reply, Fault):
+    def _answered(self, reply: Reply | CallFailure) -> None:
+        if not isinstance(reply, CallFailure):
             self.report.status = reply.status
             self.report.reason = reply.body[:200].decode("utf-8", "replace") if reply.status != 200 else ""
         else:
--- a/mintmast/lab/links.py
+++ b/mintmast/lab/links.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from mintmast.loop import Loop
-from mintmast.loop.base import Close, Handler, Listener, Stream
-from mintmast.loop.memory import Way
+from mintmast.loop.base import CloseReason, Handler, Listener, Stream
+from mintmast.loop.memory import PathConditions
 
 Place = tuple[str, int]
 Pair = tuple[int, int]
@@ -50,12 +50,12 @@
         self._waiting.append(None)
         self.go_on()
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Take note that this side is over."""
         self.stream = None
         self.links.open.discard(self)
         other, self.other = self.other, None
-        if other is not None and reason is not Close.LOCAL:
+        if other is not None and reason is not CloseReason.LOCAL:
             other.other = None
             self.links.loop.call_soon(other.abort)
 
@@ -71,12 +71,12 @@
             return
         way = self.links.ways[self.pair]
         self._busy = True
-        if way.cut or way.swallows:
-            if way.swallows:
+        if way.is_cut or way.is_black_hole:
+            if way.is_black_hole:
                 self._waiting.clear()
             self.links.loop.call_at(self.links.loop.now() + TRY_AGAIN, self._again)
         else:
-            self.links.loop.call_at(self.links.loop.now() + way.late, self._pass)
+            self.links.loop.call_at(self.links.loop.now() + way.extra_delay, self._pass)
 
     def _again(self) -> None:
         self._busy = False
@@ -88,7 +88,7 @@
             data = self._waiting.pop(0)
             if data is None:
                 target.close()
-            elif self.links.random.random() < self.links.ways[self.pair].short:
+            elif self.links.random.random() < self.links.ways[self.pair].truncation:
                 target.write(data[: len(data) // 2])
                 target.close()
                 self.abort()
@@ -105,13 +105,13 @@
     ) -> None:
         self.loop, self.address, self.count, self._port_of = loop, address, count, port_of
         self.random = random.Random(f"{seed}/links")
-        self.ways: dict[Pair, Way] = defaultdict(Way)
+        self.ways: dict[Pair, PathConditions] = defaultdict(PathConditions)
         self.open: set[_Half] = set()
         self._listeners: dict[Pair, Listener] = {}
         self._vanished: set[int] = set()
         self._ports: dict[Pair, Any] = {}
         for pair in self._pairs():
-            self._ports[pair] = loop.datagrams(
+            self._ports[pair] = loop.open_datagrams(
                 address, self._port(pair), lambda data, sender, pair=pair: self._datagram(pair, data)
             )
 
@@ -182,11 +182,11 @@
 
     def _datagram(self, pair: Pair, data: bytes) -> None:
         way = self.ways[pair]
-        if way.cut or way.swallows:
+        if way.is_cut or way.is_black_hole:
             return
-        for _ in range(1 + (self.random.random() < way.doubled)):
-            if self.random.random() >= way.lost:
-                at = self.loop.now() + way.late
+        for _ in range(1 + (self.random.random() < way.duplication)):
+            if self.random.random() >= way.loss:
+                at = self.loop.now() + way.extra_delay
                 self.loop.call_at(at, self._ports[pair].send, bytes(data), self.real(pair[1]))
 
     def close(self) -> None:
@@ -209,6 +209,6 @@
         self._there = True
         stream.abort()
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Tell."""
         self._told(self._there)
--- a/mintmast/lab/loopback.py
+++ b/mintmast/lab/loopback.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from mintmast.http.client import ClientLimits, Fault, HttpClient, Reply
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.lab.hostmodel import HostModel
 from mintmast.lab.links import Links
 from mintmast.lab.ports import Ports, own_address
 from mintmast.lab.stage import SECRET, Stage
-from mintmast.loop.memory import Way
+from mintmast.loop.memory import PathConditions
 from mintmast.loop.real import SelectorLoop
 
 # s; a gateway's process must serve by then, else the stage is no stage
@@ -69,7 +69,7 @@
 
     def way(self, source: int, target: int, **more: Any) -> None:
         """Set what befalls what goes from one gateway to another; without `more` all is well."""
-        self.links.ways[source, target] = way = Way(**more)
+        self.links.ways[source, target] = way = PathConditions(**more)
         self.told_way(source, target, way)
 
     def reset(self, one: int, other: int) -> None:
@@ -94,7 +94,7 @@
     def look(self, number: int, told: Callable[[dict[str, Any]], None]) -> None:
         """Ask a gateway what it believes of the others; nothing is told where it does not answer."""
 
-        def answered(reply: Reply | Fault) -> None:
+        def answered(reply: Reply | CallFailure) -> None:
             if isinstance(reply, Reply) and reply.status == 200:
                 told(json.loads(reply.body))
 
--- a/mintmast/lab/media.py
+++ b/mintmast/lab/media.py
@@ -18,20 +18,20 @@
 def segment(host: StandIn, exchange: Exchange, parts: list[str]) -> None:
     """Answer `GET /s/TOKEN/rN/K.m4s` and `POST /s/TOKEN/end`; `parts` are those of the path after `/s/`."""
     if len(parts) not in (2, 3):
-        exchange.problem(404, "no such path")
+        exchange.respond_problem(404, "no such path")
         return
     try:
         # a moved session keeps its address and shows its new token as a parameter (ETSI TS 103 998)
         claims = host.tokens.check(exchange.query.get("token", parts[0]), host.loop.wall())
     except TokenError as error:
-        exchange.problem(401, str(error))
+        exchange.respond_problem(401, str(error))
         return
     held = host.sessions.get(claims["sid"])
     if held is not None and host.loop.now() >= held.until:
         host.drop(held, "lease over")
         held = None
     if held is None or claims["epo"] != held.epoch or claims["hst"] != host.name:
-        exchange.problem(403, "the session does not play here")
+        exchange.respond_problem(403, "the session does not play here")
         return
     held.seen = host.loop.now()
     if parts[1] == "end" and exchange.method == "POST":
@@ -40,10 +40,10 @@
         return
     wanted = parts[1].removeprefix("r")
     if not wanted.isdigit() or int(wanted) > claims.get("rng", 255) or len(parts) != 3:
-        exchange.problem(403, "the token is not for this rung")
+        exchange.respond_problem(403, "the token is not for this rung")
         return
     if exchange.query.get("title", held.title) != held.title or claims["ttl"] != held.title:
-        exchange.problem(403, "the token is for another title")
+        exchange.respond_problem(403, "the token is for another title")
         return
     headers: Headers = [
         ("Content-Type", "video/mp4"),
--- a/mintmast/lab/mutant.py
+++ b/mintmast/lab/mutant.py
@@ -9,30 +9,30 @@
 from typing import Any
 
 from mintmast.decisions.gateways import members, records
-from mintmast.decisions.gateways.standing import Proof, Standing, State
-from mintmast.decisions.outcomes import TABLE, Evidence, Row
+from mintmast.decisions.gateways.member_status import Liveness, MemberStatus, MemberState
+from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence, OutcomeRow
 from mintmast.decisions.sessions import recovery
 from mintmast.interface import Outcome
 from mintmast.lab import disk
 from mintmast.process import serve
 from mintmast.store import line
 
-_set = members.Members._set
+_set = members.Members._set_status
 
 
 def _lost_is_dead(
-    self: members.Members, now: int, member: members.Member, standing: Standing, proof: Proof
+    self: members.Members, now: int, member: members.Member, standing: MemberStatus, proof: Liveness
 ) -> None:
-    if proof is Proof.CONFIRMED:
-        standing, proof = replace(standing, state=State.DEAD), Proof.REFUSED
+    if proof is Liveness.CONFIRMED:
+        standing, proof = replace(standing, state=MemberState.DEAD), Liveness.REFUSED
     _set(self, now, member, standing, proof)
 
 
-_keep = records.Keeper.keep
+_keep = records.RecordWriter.save
 
 
 def _told_early(
-    self: records.Keeper, now: int, kind: Any, key: str, value: Any, then: Any = None, gone: Any = None
+    self: records.RecordWriter, now: int, kind: Any, key: str, value: Any, then: Any = None, gone: Any = None
 ) -> None:
     _keep(self, now, kind, key, value, None, gone)
     if then is not None:
@@ -40,38 +40,38 @@
 
 
 def _no_intent(
-    self: records.Keeper, now: int, kind: Any, key: str, value: Any, *rest: Any, **more: Any
+    self: records.RecordWriter, now: int, kind: Any, key: str, value: Any, *rest: Any, **more: Any
 ) -> None:
-    if kind is not records.Kind.INTENT:
+    if kind is not records.RecordKind.INTENT:
         _keep(self, now, kind, key, value, *rest, **more)
     elif rest and rest[0] is not None:
         rest[0](now, True)
 
 
 # rows of the outcome table that are wrong
-ROWS: dict[str, dict[Evidence, Row]] = {
+ROWS: dict[str, dict[Evidence, OutcomeRow]] = {
     "resend-paid": {
-        evidence: Row(Outcome.CONNECT_FAILED, True, "mutation: what may have run is called never run")
+        evidence: OutcomeRow(Outcome.CONNECT_FAILED, True, "mutation: what may have run is called never run")
         for evidence in (Evidence.CUT, Evidence.CUT_REPLY, Evidence.SILENT)
     },
     "no-claims": {},  # gateways do not know each other
 }
 # what is taken out of the code: where, which name, what stands there instead
 FAULTS: dict[str, tuple[Any, str, Any]] = {
-    "no-refutation": (members, "refuted", lambda own, told: own),
-    "lost-is-dead": (members.Members, "_set", _lost_is_dead),
-    "told-early": (records.Keeper, "keep", _told_early),
-    "no-intent": (records.Keeper, "keep", _no_intent),
-    "start-from-clock": (disk, "next_life", lambda wall, before: wall),
-    "start-from-clock-real": (line, "next_life", lambda wall, before: wall),
-    "trusting": (recovery, "reaches", lambda clock, since: True),
+    "no-refutation": (members, "refute", lambda own, told: own),
+    "lost-is-dead": (members.Members, "_set_status", _lost_is_dead),
+    "told-early": (records.RecordWriter, "save", _told_early),
+    "no-intent": (records.RecordWriter, "save", _no_intent),
+    "start-from-clock": (disk, "next_generation", lambda wall, before: wall),
+    "start-from-clock-real": (line, "next_generation", lambda wall, before: wall),
+    "trusting": (recovery, "memory_covers", lambda clock, since: True),
 }
 MUTATIONS = (*ROWS, *FAULTS)
 
 
-def mutated(name: str | None) -> dict[Evidence, Row] | None:
+def mutated(name: str | None) -> dict[Evidence, OutcomeRow] | None:
     """Give the outcome table with a mutation in it, None where the table is whole."""
-    return {**TABLE, **ROWS[name]} if name in ROWS else None
+    return {**OUTCOME_TABLE, **ROWS[name]} if name in ROWS else None
 
 
 @contextmanager
--- a/mintmast/lab/registry.py
+++ b/mintmast/lab/registry.py
@@ -8,7 +8,7 @@
 
 from lxml import etree
 
-from mintmast.decisions.hosts.registry import Instance, hashcode
+from mintmast.decisions.hosts.registry import Instance, compute_hashcode
 from mintmast.http.server import Exchange, HttpServer, ServerLimits
 from mintmast.loop import Loop
 
@@ -56,7 +56,7 @@
         if self.hang:
             return
         if self.errors:
-            exchange.problem(self.errors, "out of order")
+            exchange.respond_problem(self.errors, "out of order")
             return
         path = exchange.path.removeprefix("/eureka")
         if path == "/apps" and exchange.method == "GET":
@@ -69,7 +69,7 @@
         elif path.startswith("/apps/"):
             self._gateway(exchange, path.split("/")[3:])
         else:
-            exchange.problem(404, "no such path")
+            exchange.respond_problem(404, "no such path")
 
     def _gateway(self, exchange: Exchange, name: list[str]) -> None:
         if exchange.method == "POST" and not name:
@@ -81,13 +81,13 @@
         elif name and exchange.method == "DELETE":
             exchange.respond(200 if self.gateways.pop(name[0], None) else 404)
         else:
-            exchange.problem(405, "no such method")
+            exchange.respond_problem(405, "no such method")
 
     def _hash(self) -> str:
         if self.wrong_hash:
             return "UP_999_"
         rows = list(self.rows.values())[: round(len(self.rows) * self.half)]
-        return hashcode(Instance(self.app, r["instanceId"], "", r["status"]) for r in rows)
+        return compute_hashcode(Instance(self.app, r["instanceId"], "", r["status"]) for r in rows)
 
     def _tell(self, exchange: Exchange, rows: list[dict[str, Any]]) -> None:
         if self.wrong_types:
@@ -104,9 +104,9 @@
             body = gzip.compress(body, mtime=0)
             headers.append(("Content-Encoding", "gzip"))
         if self.cut:
-            exchange.start(200, headers)
-            exchange.send(body[: len(body) // 2])
-            exchange.cut()
+            exchange.start_stream(200, headers)
+            exchange.send_chunk(body[: len(body) // 2])
+            exchange.abort()
             return
         exchange.respond(200, headers, body)
 
--- a/mintmast/lab/revisionwalk.py
+++ b/mintmast/lab/revisionwalk.py
@@ -15,37 +15,37 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.revising import (
-    NOTHING,
-    AskRevisions,
+from mintmast.decisions.gateways.revision_types import (
+    EMPTY_PATCH,
+    PullRevisions,
     Command,
     Event,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
     Publish,
-    Pulled,
+    PullSucceeded,
     PullFailed,
-    Question,
+    RevisionRequest,
     Stored,
     TakeOver,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.rumours import ROOM
+from mintmast.decisions.gateways.revision_gossip import MAX_DELTA_BYTES
 from mintmast.lab.spread import FIRST, check
 
 Step = tuple[Any, ...]
 
 
-def head(term: int, number: int, document: bytes) -> Head:
+def head(term: int, number: int, document: bytes) -> RevisionId:
     """Give the head of a document."""
-    return Head(term, number, digest_of(document))
+    return RevisionId(term, number, digest_of(document))
 
 
-BEGUN = check(FIRST, NOTHING)[0]
+BEGUN = check(FIRST, EMPTY_PATCH)[0]
 
 
 def fleet(fork: bool = False) -> dict[str, Stored]:
@@ -84,9 +84,9 @@
         self.parts: dict[str, Revisions] = {}
         self.disks: dict[str, list[Stored]] = {}  # what a death may leave; the last is what was begun last
         self.force: dict[str, tuple[int, int]] = {}
-        self.words: set[tuple[str, Head]] = set()  # ever told: each may come at any time
-        self.calls: list[tuple[str, str, int, Question]] = []
-        self.kept: dict[str, Keep] = {}
+        self.words: set[tuple[str, RevisionId]] = set()  # ever told: each may come at any time
+        self.calls: list[tuple[str, str, int, RevisionRequest]] = []
+        self.kept: dict[str, WriteRevision] = {}
         self.left = {"publish": publishes, "over": overs, "death": deaths, "unkept": 1}
         self.keys = dict.fromkeys(stored, 0)
         self.asks, self.fault = asks, ""
@@ -102,45 +102,45 @@
 
     def _do(self, name: str, commands: list[Command]) -> None:
         for each in commands:
-            if isinstance(each, InForce):
+            if isinstance(each, ActiveRevision):
                 self._in_force(name, each.head, each.document)
-            elif isinstance(each, Keep):
+            elif isinstance(each, WriteRevision):
                 self.kept[name] = each
-                self.disks[name].append(Stored(each.head, each.document, each.leads))
-            elif isinstance(each, AskRevisions):
-                self.calls.append((name, each.source, each.call, each.question))
+                self.disks[name].append(Stored(each.head, each.document, each.publisher_term))
+            elif isinstance(each, PullRevisions):
+                self.calls.append((name, each.source, each.call, each.request))
 
-    def _in_force(self, name: str, head: Head, document: bytes) -> None:
+    def _in_force(self, name: str, head: RevisionId, document: bytes) -> None:
         if head.key < self.force.get(name, (0, 0)):
             self.fault = f"{name}: {head} after {self.force[name]}"
         if self.documents.setdefault(head.key, document) != document:
             self.fault = f"{name}: {head.key} is two documents"
-        if CHECKS[name](document, NOTHING)[0] != document:
+        if CHECKS[name](document, EMPTY_PATCH)[0] != document:
             self.fault = f"{name}: {head} does not check"
         self.force[name] = head.key
         self.words.add((name, head))
 
     def take(self, name: str, event: Event) -> None:
         """Let an event come to a gateway."""
-        self._do(name, self.parts[name].take(0, event))
+        self._do(name, self.parts[name].handle(0, event))
 
     def steps(self) -> Iterator[Step]:
         """Give what may happen next."""
         for name, part in self.parts.items():
-            if not part.settled:
+            if not part.is_settled:
                 yield "settle", name
             if name in self.kept:
                 yield "kept", name, True
-                if self.left["unkept"] and self.kept[name].leads:
+                if self.left["unkept"] and self.kept[name].publisher_term:
                     yield "kept", name, False
-            elif part.settled and part.publisher.leads and self.left["publish"]:
+            elif part.is_settled and part.publisher.term and self.left["publish"]:
                 for patch in PATCHES:
                     yield "publish", name, patch
-            if part.settled and self.left["over"] and name == "b":
+            if part.is_settled and self.left["over"] and name == "b":
                 yield "over", name
             if self.left["death"]:
                 yield from (("death", name, place) for place in range(-1, len(self.disks[name])))
-            if part._near is None and name not in self.kept and part._calls < self.asks:
+            if part._region_pull is None and name not in self.kept and part._pull_number < self.asks:
                 for peer, told in self.words:
                     if peer != name and told.key >= part.head.key and told != part.head:
                         yield "word", name, peer, told
@@ -154,14 +154,14 @@
         """Let one thing happen."""
         kind, name = step[0], step[1]
         if kind == "settle":
-            self.parts[name]._start.over = True
+            self.parts[name]._startup.is_over = True
         elif kind == "kept":
             kept = self.kept.pop(name)
             if step[2]:
                 self.disks[name] = self.disks[name][-1:]
             else:
                 self.left["unkept"] -= 1
-            self.take(name, Kept(kept.number, step[2]))
+            self.take(name, WriteFinished(kept.number, step[2]))
         elif kind == "publish":
             self.left["publish"] -= 1
             self.take(name, Publish(1, step[2]))
@@ -178,15 +178,19 @@
             self.begin(name, stored)
         elif kind in ("word", "bring"):
             told, own = step[3], self.parts[name].head
-            deltas = self.parts[step[2]].history.after((*own.key, own.mark), ROOM) if kind == "bring" else ()
-            self.take(name, HeadHeard(step[2], told.term, told.number, told.mark, deltas))
+            deltas = (
+                self.parts[step[2]].history.deltas_after((*own.key, own.digest_prefix), MAX_DELTA_BYTES)
+                if kind == "bring"
+                else ()
+            )
+            self.take(name, RevisionAnnounced(step[2], told.term, told.number, told.digest_prefix, deltas))
         else:
             name, source, call, question = step[1]
-            if kind == "lost" or self.parts[name]._near is None:
+            if kind == "lost" or self.parts[name]._region_pull is None:
                 self.calls.remove(step[1])  # a second answer to one question comes at last, too
                 self.take(name, PullFailed(call))
             if kind == "reply":
-                self.take(name, Pulled(call, self.parts[source].answer(question)))
+                self.take(name, PullSucceeded(call, self.parts[source].answer(question)))
 
     def clone(self, name: str) -> Model:
         """Give a copy in which one part may go on."""
@@ -195,21 +199,30 @@
             setattr(other, what, copy.copy(getattr(self, what)))
         other.disks = {each: list(all_) for each, all_ in self.disks.items()}
         part = other.parts[name] = copy.copy(self.parts[name])
-        for what in ("history", "_senders", "publisher", "_start", "_near", "_keeping", "dropped", "pulls"):
+        for what in (
+            "history",
+            "_senders",
+            "publisher",
+            "_startup",
+            "_region_pull",
+            "_pending_write",
+            "dropped",
+            "pull_counts",
+        ):
             setattr(part, what, copy.copy(getattr(part, what)))
         part.history.deltas, part.history._keys = list(part.history.deltas), list(part.history._keys)
-        part._senders._told = dict(part._senders._told)
-        part._start._heard, part._out = set(part._start._heard), []
+        part._senders._announced = dict(part._senders._announced)
+        part._startup._announcing, part._commands = set(part._startup._announcing), []
         return other
 
     def key(self, name: str) -> int:
         """Give what tells this state from others; only `name` has changed since the last time."""
         p = self.parts[name]
-        near, keeping, publisher = p._near, p._keeping, p.publisher
+        near, keeping, publisher = p._region_pull, p._pending_write, p.publisher
         self.keys[name] = hash((
-            p.head, publisher.leads, publisher.highest, p._calls, p._keeps, p.settled, p._start.any, p._whole,
-            near and (near.call, near.source, near.since), keeping and (keeping.head, keeping.leads),
-            tuple(p._senders._told.items()), p.history.base, tuple(p.history.deltas),
+            p.head, publisher.term, publisher.highest_term, p._pull_number, p._write_number, p.is_settled, p._startup.heard_any, p._needs_document,
+            near and (near.call, near.source, near.since), keeping and (keeping.head, keeping.publisher_term),
+            tuple(p._senders._announced.items()), p.history.base, tuple(p.history.deltas),
             tuple(self.disks[name]), name in self.kept, self.force.get(name),
         ))  # fmt: skip
         return hash((*self.keys.values(), tuple(self.calls), frozenset(self.words), *self.left.values()))
--- a/mintmast/lab/scale/answers.py
+++ b/mintmast/lab/scale/answers.py
@@ -15,7 +15,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from mintmast.http.client import Fault, Reply
+from mintmast.http.client import CallFailure, Reply
 from mintmast.lab.drills.day import PAID, Day, model, settings
 from mintmast.lab.loopback import LoopbackStage
 from mintmast.lab.scale.record import Row
@@ -88,7 +88,7 @@
         address, _, port = host.rpartition(":")
         begun = stage.now()
 
-        def answered(reply: Reply | Fault) -> None:
+        def answered(reply: Reply | CallFailure) -> None:
             if isinstance(reply, Reply) and reply.status == 200:
                 self.served += 1
                 self.seen.record_value(max(1, stage.now() - begun))
@@ -106,7 +106,7 @@
         self.stage.loop.call_at(later, self._change, number + 1)
 
     def _operate(self, path: str, body: dict[str, Any]) -> None:
-        def told(reply: Reply | Fault) -> None:
+        def told(reply: Reply | CallFailure) -> None:
             good = isinstance(reply, Reply) and reply.status == 200
             self.published += good and path.endswith("configuration")
 
--- a/mintmast/lab/scale/applying.py
+++ b/mintmast/lab/scale/applying.py
@@ -13,7 +13,7 @@
 from mintmast.config.places import Places
 from mintmast.config.shared import Shared, document
 from mintmast.configuring import Begun, Live
-from mintmast.decisions.gateways.revising import Head, Stored
+from mintmast.decisions.gateways.revision_types import RevisionId, Stored
 from mintmast.lab.scale.record import Row
 from mintmast.lab.scale.sessions import Held
 
@@ -28,7 +28,7 @@
     held.fill(size)
     gateway, shared = held.gateway, Shared()
     places, now = Places(gateway.config), document(gateway.config.raw)
-    live = Live(gateway, Begun(places, shared, Stored(Head(), now), NO_FILE))
+    live = Live(gateway, Begun(places, shared, Stored(RevisionId(), now), NO_FILE))
     times = []
     for number in range(CHANGES):
         after, why = shared.check(now, b'{"titles":{"more-%d":{"home":1,"copies":2}}}' % number)
--- a/mintmast/lab/scale/bench.py
+++ b/mintmast/lab/scale/bench.py
@@ -15,8 +15,8 @@
 from mintmast.decisions import messages as msg
 from mintmast.hosts.protocol import CLOCK, LOAD, event, load_header
 from mintmast.lab.standin import KEEP_ALIVE
-from mintmast.loop.base import DEFAULT, Handler, Limits, Timer, Timers
-from mintmast.loop.memory import EPOCH
+from mintmast.loop.base import DEFAULT_LIMITS, Handler, StreamLimits, Timer, Timers
+from mintmast.loop.memory import EPOCH_S
 
 SECOND = 1_000_000
 LATENCY = 500  # µs of a way to a host, its work and the way back, each half: the order of the stand-in's
@@ -51,7 +51,7 @@
 
     def wall(self) -> float:
         """Give s since 1970."""
-        return EPOCH + self.time / SECOND
+        return EPOCH_S + self.time / SECOND
 
     def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
         """Set a timer of the gateway."""
@@ -72,7 +72,9 @@
         self.accept, self.port = accept, port
         return self
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> _HostWire:
+    def connect(
+        self, host: str, port: int, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS
+    ) -> _HostWire:
         """Connect to a hollow host."""
         wire = _HostWire(self, f"{host}:{port}", handler)
         self.at(self.time + LATENCY, self.turn, "connected", handler.opened, wire)
@@ -96,13 +98,13 @@
         before = self.all
         while (due := self._timers.next()) is not None and due <= until:
             timer = self._timers.pop(due)
-            if timer is None or timer.do is None:
+            if timer is None or timer.callback is None:
                 continue
-            self.time, do, args = max(self.time, due), timer.do, timer.args
+            self.time, do, args = max(self.time, due), timer.callback, timer.args
             if args and args[0] is _MINE:
                 do(*args[1:])
             else:
-                due_for = args[0].token[0] if args and isinstance(args[0], msg.Due) else do.__name__
+                due_for = args[0].token[0] if args and isinstance(args[0], msg.TimerFired) else do.__name__
                 self.turn(f"due.{due_for}", do, *args)
             if most is not None and self.all - before > most:
                 return
@@ -127,11 +129,11 @@
 
     def __init__(self, bench: Bench, host: str, handler: Handler) -> None:
         self.bench, self.host, self._handler = bench, host, handler
-        self.handed_over, self.peer, self.over = 0, (host, 0), False
+        self.bytes_sent, self.peer, self.over = 0, (host, 0), False
 
     def write(self, data: bytes) -> bool:
         """Take a whole call; it is answered later."""
-        self.handed_over += len(data)
+        self.bytes_sent += len(data)
         self.bench.at(self.bench.time + LATENCY, self._answer, data)
         return True
 
--- a/mintmast/lab/scale/configuration.py
+++ b/mintmast/lab/scale/configuration.py
@@ -21,30 +21,30 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.members import NO_HEAD, PERIOD
-from mintmast.decisions.gateways.revising import (
-    AskRevisions,
+from mintmast.decisions.gateways.members import NO_REVISION, PROBE_PERIOD_US
+from mintmast.decisions.gateways.revision_types import (
+    PullRevisions,
     Command,
     Delta,
     Event,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
-    Ordered,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
+    OrderAnswered,
     Publish,
-    Pulled,
+    PullSucceeded,
     PullFailed,
-    Reply,
+    RevisionReply,
     Stored,
-    Tick,
-    Wake,
+    TimerFired,
+    ScheduleTimer,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.rumours import Rumour, Told
-from mintmast.decisions.gateways.words import Kind, TabledWord
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip, RevisionSummary
+from mintmast.decisions.gateways.gossip_messages import GossipKind, GossipWithDigest
 from mintmast.lab.scale.record import Row
 from mintmast.lab.spread import CALLED, DISK, FIRST, Spread, check
 
@@ -79,12 +79,12 @@
         self.cut: set[int] = set()  # regions that reach no other
         self.pulls = self.bytes = self.heads = self.told = 0
         self.spent = 0.0  # s of processor time in all `Revisions`
-        self.answers: list[Ordered] = []
+        self.answers: list[OrderAnswered] = []
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = itertools.count()
         self._orders: list[list[int]] = [[] for _ in range(count)]
         # numbers as they are after some years of changes
-        stored = Stored(Head(20_000, 4_000_000, digest_of(document)), document)
+        stored = Stored(RevisionId(20_000, 4_000_000, digest_of(document)), document)
         first = msgspec.structs.replace(stored, leads=stored.head.term)
         self.parts = [
             Revisions(
@@ -96,11 +96,11 @@
             )
             for number in range(count)
         ]
-        self.rumours = [Rumour(part.history.after) for part in self.parts]
+        self.rumours = [RevisionGossip(part.history.deltas_after) for part in self.parts]
         for number, part in enumerate(self.parts):
-            part._start.over = True
+            part._startup.is_over = True
             self._do(number, part.begin(self.now))
-            self.later(self.random.randrange(PERIOD), self._probe, number)
+            self.later(self.random.randrange(PROBE_PERIOD_US), self._probe, number)
 
     def later(self, wait: int, do: Callable[..., None], *args: Any) -> None:
         """Call after so many µs."""
@@ -123,7 +123,7 @@
     def take(self, number: int, event: Event) -> None:
         """Let an event come to a gateway."""
         begun = time.process_time()
-        out = self.parts[number].take(self.now, event)
+        out = self.parts[number].handle(self.now, event)
         self.spent += time.process_time() - begun
         self._do(number, out)
 
@@ -138,60 +138,64 @@
             order.extend(each for each in self.regions[number % REGIONS] if each != number)
             self.random.shuffle(order)
         to, rumour = order.pop(), self.rumours[number]
-        if rumour.first(self.now):
+        if rumour.should_announce(self.now):
             self._say(number, to, True, rumour.head)
-        self.later(PERIOD, self._probe, number)
+        self.later(PROBE_PERIOD_US, self._probe, number)
 
-    def _say(self, source: int, to: int, asked: bool, head: Told, deltas: tuple[Delta, ...] = ()) -> None:
+    def _say(
+        self, source: int, to: int, asked: bool, head: RevisionSummary, deltas: tuple[Delta, ...] = ()
+    ) -> None:
         """Send a word that tells a head; those that tell none do nothing here."""
         self.told += 1
         self.bytes += _headed(head, deltas)
         self.later(self.random.randint(*NEAR), self._heard, source, to, asked, head, deltas)
 
-    def _heard(self, source: int, to: int, asked: bool, head: Told, deltas: tuple[Delta, ...]) -> None:
+    def _heard(
+        self, source: int, to: int, asked: bool, head: RevisionSummary, deltas: tuple[Delta, ...]
+    ) -> None:
         rumour = self.rumours[to]
         if asked:
-            self._say(to, source, False, rumour.head, rumour.bring(self.now, str(source), head))
-        elif rumour.owes(self.now, str(source), head):
+            self._say(to, source, False, rumour.head, rumour.deltas_for(self.now, str(source), head))
+        elif rumour.should_send_deltas(self.now, str(source), head):
             self.bytes += ANSWERED
-            self._say(to, source, False, rumour.head, rumour.bring(self.now, str(source), head))
+            self._say(to, source, False, rumour.head, rumour.deltas_for(self.now, str(source), head))
         self.heads += 1
-        self.take(to, HeadHeard(str(source), *head, deltas, asked))
+        self.take(to, RevisionAnnounced(str(source), *head, deltas, asked))
 
     def _do(self, number: int, commands: list[Command]) -> None:
         for command in commands:
-            if isinstance(command, Wake):
-                self.later(max(0, command.at - self.now), self.take, number, Tick(command.at))
-            elif isinstance(command, Keep):
-                self.later(self.random.randint(*DISK), self.take, number, Kept(command.number))
-            elif isinstance(command, InForce):
+            if isinstance(command, ScheduleTimer):
+                self.later(max(0, command.at - self.now), self.take, number, TimerFired(command.at))
+            elif isinstance(command, WriteRevision):
+                self.later(self.random.randint(*DISK), self.take, number, WriteFinished(command.number))
+            elif isinstance(command, ActiveRevision):
                 self.force[number] = self.now
-                self.rumours[number].changed((*command.head.key, command.head.mark))
-            elif isinstance(command, AskRevisions):
+                self.rumours[number].set_head((*command.head.key, command.head.digest_prefix))
+            elif isinstance(command, PullRevisions):
                 self._ask(number, command)
-            elif isinstance(command, Ordered):
+            elif isinstance(command, OrderAnswered):
                 self.answers.append(command)
 
-    def _ask(self, number: int, command: AskRevisions) -> None:
+    def _ask(self, number: int, command: PullRevisions) -> None:
         source, own = command.source, number % REGIONS
         if isinstance(source, int):
             region = (own + 1 + source % (REGIONS - 1)) % REGIONS
             source = self.regions[region][source // (REGIONS - 1) % len(self.regions[region])]
             if self.cut & {own, region}:
-                self.later(command.until - self.now, self.take, number, PullFailed(command.call))
+                self.later(command.deadline - self.now, self.take, number, PullFailed(command.call))
                 return
         path = FAR if int(source) % REGIONS != own else NEAR
         self.later(3 * self.random.randint(*path), self._asked, number, int(source), command, path)
 
-    def _asked(self, number: int, source: int, command: AskRevisions, path: tuple[int, int]) -> None:
+    def _asked(self, number: int, source: int, command: PullRevisions, path: tuple[int, int]) -> None:
         begun = time.process_time()
-        reply = self.parts[source].answer(command.question)
+        reply = self.parts[source].answer(command.request)
         self.spent += time.process_time() - begun
         self.pulls += 1
-        told = reply or Reply(Head())
+        told = reply or RevisionReply(RevisionId())
         encode = msgspec.json.encode
-        self.bytes += len(encode(command.question)) + len(encode(told)) + sum(CALLED)
-        self.later(self.random.randint(*path), self.take, number, Pulled(command.call, told))
+        self.bytes += len(encode(command.request)) + len(encode(told)) + sum(CALLED)
+        self.later(self.random.randint(*path), self.take, number, PullSucceeded(command.call, told))
 
 
 def _change(number: int) -> Publish:
@@ -234,12 +238,12 @@
 
 
 @cache
-def _headed(head: Told, deltas: tuple[Delta, ...]) -> int:
+def _headed(head: RevisionSummary, deltas: tuple[Delta, ...]) -> int:
     """Give the bytes that this makes a word longer."""
-    told = Kind.PING, "g", 1, 0, 1, 1, "", -1, (), ""
+    told = GossipKind.PING, "g", 1, 0, 1, 1, "", -1, (), ""
     encode = msgspec.msgpack.encode
-    return len(encode(TabledWord(*told, *head, deltas, 1 << 31))) - len(
-        encode(TabledWord(*told, *NO_HEAD, 1 << 31))
+    return len(encode(GossipWithDigest(*told, *head, deltas, 1 << 31))) - len(
+        encode(GossipWithDigest(*told, *NO_REVISION, 1 << 31))
     )
 
 
--- a/mintmast/lab/scale/fleet.py
+++ b/mintmast/lab/scale/fleet.py
@@ -11,8 +11,8 @@
 import random
 from collections.abc import Iterable, Sequence
 
-from mintmast.decisions.gateways.revising import Publish
-from mintmast.decisions.gateways.standing import CONCLUSIONS, Proof
+from mintmast.decisions.gateways.revision_types import Publish
+from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 from mintmast.lab.crowd import SECOND, Crowd
 from mintmast.lab.scale.record import Row
 from mintmast.lab.spread import Spread
@@ -57,15 +57,15 @@
         for name in list(self.waits):
             for other in list(self.waits[name]):
                 member = crowd.parts[name].others[other]
-                self.saw(crowd.now, name, other, member.proof, member.standing.start)
+                self.saw(crowd.now, name, other, member.liveness, member.status.generation)
 
-    def saw(self, now: int, name: str, other: str, proof: Proof, start: int) -> None:
+    def saw(self, now: int, name: str, other: str, proof: Liveness, start: int) -> None:
         """Take what a gateway believes of another from now on."""
         if name not in self.waits or other not in self.about:
             return
-        known = start >= self.about[other] if self.there else not CONCLUSIONS[proof].relied_on
+        known = start >= self.about[other] if self.there else not MEMBER_POLICIES[proof].counts_as_capacity
         if self.there:
-            known = known and proof is Proof.HEARD
+            known = known and proof is Liveness.HEARD
         if known:
             self.waits[name].discard(other)
             if not self.waits[name]:
@@ -109,7 +109,7 @@
     def watch(self, about: Iterable[str], there: bool, among: Iterable[str] = (), since: int = 0) -> Watch:
         """Wait for those running, or those named, to know of some others."""
         crowd = self.crowd
-        starts = {n: crowd.parts[n].own.start if there and n in crowd.parts else 0 for n in about}
+        starts = {n: crowd.parts[n].own_status.generation if there and n in crowd.parts else 0 for n in about}
         watch = Watch(crowd, list(among) or list(crowd.parts), starts, there, since or crowd.now)
         self.watches.append(watch)
         return watch
@@ -122,7 +122,7 @@
             crowd.run(min(STEP, (until - crowd.now) / SECOND))
             for now, name, change in crowd.changes[self._read :]:
                 for watch in self.watches:
-                    watch.saw(now, name, change.name, change.proof, change.start)
+                    watch.saw(now, name, change.name, change.liveness, change.generation)
             self._read = len(crowd.changes)
             if crowd.now - self._marked >= SECOND:
                 self._mark()
