--- a/mintmast/lab/scale/hollow.py
+++ b/mintmast/lab/scale/hollow.py
@@ -31,32 +31,48 @@
 import msgspec
 
 from mintmast.decisions.gateways.members import (
-    AGREED,
-    ANSWER,
-    APART,
-    HELPERS,
-    NO_HEAD,
-    PERIOD,
-    RETURN_EVERY,
-    RETURNS,
-    SPREAD,
+    AGREEING_MESSAGES,
+    PROBE_TIMEOUT_US,
+    DIVERGENCE_US,
+    INDIRECT_PROBES,
+    NO_REVISION,
+    PROBE_PERIOD_US,
+    LOST_PROBE_INTERVAL,
+    LOST_PROBES_PER_PERIOD,
+    RETRANSMIT_FACTOR,
 )
-from mintmast.decisions.gateways.standing import State
-from mintmast.decisions.gateways.talk import Known, Vote
-from mintmast.decisions.gateways.witness import KEPT, LEARNT_AT_ONCE, digest_of, witnesses_of
-from mintmast.decisions.gateways.witnessing import ALL_AT_ONCE, CLAIM_TIME, PAIR_TIME
-from mintmast.decisions.gateways.words import MOST_NEWS, Kind, News, TabledWord, Word, mark_of
-from mintmast.http.client import ClientLimits, Fault, HttpClient, Reply
+from mintmast.decisions.gateways.member_status import MemberState
+from mintmast.decisions.gateways.claim_messages import KnownClaim, Vote
+from mintmast.decisions.gateways.witness import (
+    RECORD_RETENTION_US,
+    RECORDS_PER_PAGE,
+    hash_key,
+    select_witnesses,
+)
+from mintmast.decisions.gateways.witness_service import (
+    MAX_UNPACED_MEMBERS,
+    CLAIM_TIMEOUT_US,
+    REVIEW_US_PER_PAIR,
+)
+from mintmast.decisions.gateways.gossip_messages import (
+    MAX_UPDATES,
+    GossipKind,
+    MemberUpdate,
+    GossipWithDigest,
+    GossipMessage,
+    hash_status,
+)
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer
 from mintmast.lab.scale.hollow_row import Change, Row, Seals
 from mintmast.loop import Loop
-from mintmast.peers import roster
-from mintmast.peers.lines import MAC, PATH, Answer, Body, PeerLines
+from mintmast.peers import membership_transport
+from mintmast.peers.transport import MAC_HEADER, PATH, ReplyBody, CallBody, PeerTransport
 
 SECOND = 1_000_000
 # words that one gateway sends a second, about, while there is news and while there is none: a probe each
 # ANSWER or PERIOD, and as many answers
-WORDS, CALM_WORDS = 2 * SECOND / ANSWER, 2 * SECOND / PERIOD
+WORDS, CALM_WORDS = 2 * SECOND / PROBE_TIMEOUT_US, 2 * SECOND / PROBE_PERIOD_US
 # µs of an answer to a claim or question that is waited for
 WAIT = SECOND
 
@@ -102,15 +118,15 @@
             if index != self.at:
                 self.rows[index] = row = Row(index, name, born, since, loop_of(name))
                 self._listen(row)
-        self.news = [News(name, born, 0, State.ALIVE) for name in self.names]
+        self.news = [MemberUpdate(name, born, 0, MemberState.ALIVE) for name in self.names]
         self._progress, self._from = 0.0, self.begun
         self._apart = 0
         # µs for which news is passed on first
-        self._hot = int(SPREAD * math.ceil(math.log2(len(self.names) + 1)) / WORDS * SECOND)
+        self._hot = int(RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.names) + 1)) / WORDS * SECOND)
         # µs after three in four know in which the others do, and then so many words are heard as end the news
-        self._cooling = int((AGREED + 4) / WORDS * SECOND)
+        self._cooling = int((AGREEING_MESSAGES + 4) / WORDS * SECOND)
         # what all of them tell of how they hold all to stand; the real one is in it once it was heard
-        self._marks = [mark_of(each.name, each.standing()) for each in self.news]
+        self._marks = [hash_status(each.name, each.status()) for each in self.news]
         self._marks[self.at] = 0
         self._table = functools.reduce(operator.xor, self._marks)
         others = len(self.rows)  # of each: the other hollow ones and the real one
@@ -124,18 +140,18 @@
 
     def _listen(self, row: Row) -> None:
         host, port = self.place(row.name)
-        row.port = row.loop.datagrams(host, port, functools.partial(self._came, row))
+        row.port = row.loop.open_datagrams(host, port, functools.partial(self._came, row))
         HttpServer(row.loop, host, port, functools.partial(self._called, row))
 
     # Probes
 
     def _pace(self) -> float:
         """Give normal probes of each member a µs: fast while there is news, less those of who is gone."""
-        return self.probes * (1 - self._gone_part()) / (ANSWER if self.busy() else PERIOD)
+        return self.probes * (1 - self._gone_part()) / (PROBE_TIMEOUT_US if self.busy() else PROBE_PERIOD_US)
 
     def _gone_part(self) -> float:
         """Give the part of a member's probes that goes to those that are gone."""
-        return min(1 / RETURN_EVERY, RETURNS * len(self.lost) / len(self.rows))
+        return min(1 / LOST_PROBE_INTERVAL, LOST_PROBES_PER_PERIOD * len(self.lost) / len(self.rows))
 
     def busy(self) -> bool:
         """Tell whether there is news among them, or the real one holds the region to stand otherwise."""
@@ -176,7 +192,7 @@
             if index not in self.lost:
                 row = self.rows[index]
                 row.number += 1
-                self._word(row, Kind.PING, row.number)
+                self._word(row, GossipKind.PING, row.number)
         self._again()
 
     def _ask(self) -> None:
@@ -186,30 +202,30 @@
         there = [index for index in self.rows if index not in self.lost]
         row = self.rows[self.draw.choice(there)]
         row.number += 1
-        self._word(row, Kind.ASK, row.number, self.names[self.draw.choice(sorted(self.lost))])
+        self._word(row, GossipKind.PING_REQUEST, row.number, self.names[self.draw.choice(sorted(self.lost))])
         self._ask_later()
 
     def _ask_later(self) -> None:
         # each member's failing probes a µs, and the part of its helpers that is the real one
-        rate = self._pace() * self._gone_part() * min(HELPERS, len(self.rows) - 1)
+        rate = self._pace() * self._gone_part() * min(INDIRECT_PROBES, len(self.rows) - 1)
         self.clock.call_at(self.clock.now() + int(self.draw.expovariate(rate)) + 1, self._ask)
 
     # Words
 
-    def _news(self, row: Row) -> tuple[News, ...]:
+    def _news(self, row: Row) -> tuple[MemberUpdate, ...]:
         """Give what one would pass on: what it has newly heard of; where others differ, all in turn."""
         now, others = self.clock.now(), len(self.names) - 1
-        out: dict[int, News] = {}
+        out: dict[int, MemberUpdate] = {}
         most = self._hot
-        older: dict[int, News] = {}
+        older: dict[int, MemberUpdate] = {}
         for change in self.changes:
             heard = change.times[row.index]
             if now < heard:
                 older.setdefault(change.index, change.before)
             elif now < min(heard + most, change.most + self._cooling) and change.index != row.index:
                 out[change.index] = change.after
-        first = row.words * MOST_NEWS
-        for step in range(min(others, MOST_NEWS - len(out)) if self._differs(row) else 0):
+        first = row.words * MAX_UPDATES
+        for step in range(min(others, MAX_UPDATES - len(out)) if self._differs(row) else 0):
             index = (first + step) % others
             index += index >= row.index
             if index not in out and (index != self.at or self.real_start):
@@ -224,7 +240,7 @@
         """
         now = self.clock.now()
         return now < self._apart or any(
-            change.times[row.index] <= now < change.most + APART / 2 for change in self.changes
+            change.times[row.index] <= now < change.most + DIVERGENCE_US / 2 for change in self.changes
         )
 
     def _table_of(self, row: Row) -> int:
@@ -233,50 +249,54 @@
         for change in self.changes:
             if now < change.times[row.index]:
                 for each in (change.before, change.after):
-                    table ^= mark_of(each.name, each.standing())
+                    table ^= hash_status(each.name, each.status())
         return table
 
-    def _made(self, row: Row, kind: Kind, number: int, about: str = "", gap: int = -1) -> bytes:
+    def _made(self, row: Row, kind: GossipKind, number: int, about: str = "", gap: int = -1) -> bytes:
         now = self.clock.now()
         row.words = max(row.words + 1, int((now - row.begun) * CALM_WORDS / SECOND))
         self.counts[kind.name] += 1
         told = kind, row.name, row.start, row.incarnation, row.words, number, about, gap, self._news(row), ""
-        word = TabledWord(*told, *NO_HEAD, self._table_of(row))
-        return self.seals.seal(word)
+        word = GossipWithDigest(*told, *NO_REVISION, self._table_of(row))
+        return self.seals.encode(word)
 
-    def _word(self, row: Row, kind: Kind, number: int, about: str = "", gap: int = -1) -> None:
+    def _word(self, row: Row, kind: GossipKind, number: int, about: str = "", gap: int = -1) -> None:
         row.port.send(self._made(row, kind, number, about, gap), self.place(self.real))
 
     def _came(self, row: Row, data: bytes, peer: tuple[str, int]) -> None:
-        word = self.seals.open(data)
+        word = self.seals.decode(data)
         if word is not None:
             self._heard(row, word)
-            if word.kind == Kind.PING:
-                self._word(row, Kind.ACK, word.number, word.about)
-            elif word.kind == Kind.ASK:
-                self._word(row, Kind.NACK, word.number, word.about)
-                if word.about in self.names and self.names.index(word.about) not in self.lost:
+            if word.kind == GossipKind.PING:
+                self._word(row, GossipKind.ACK, word.probe_number, word.subject)
+            elif word.kind == GossipKind.PING_REQUEST:
+                self._word(row, GossipKind.NACK, word.probe_number, word.subject)
+                if word.subject in self.names and self.names.index(word.subject) not in self.lost:
                     later = self.clock.now() + 2 * SECOND // 1000
-                    gap = self.draw.randrange(1, 2 * PERIOD * len(self.names) // 1000)
-                    self.clock.call_at(later, self._word, row, Kind.ACK, word.number, word.about, gap)
+                    gap = self.draw.randrange(1, 2 * PROBE_PERIOD_US * len(self.names) // 1000)
+                    self.clock.call_at(
+                        later, self._word, row, GossipKind.ACK, word.probe_number, word.subject, gap
+                    )
 
-    def _heard(self, row: Row, word: Word) -> None:
-        told = word.start, word.incarnation
+    def _heard(self, row: Row, word: GossipMessage) -> None:
+        told = word.generation, word.incarnation
         if word.sender == self.real and told > (self.real_start, self.news[self.at].incarnation):
-            self.real_start = word.start
-            self._renew(self.at, News(word.sender, word.start, word.incarnation, State.ALIVE))
-        if isinstance(word, TabledWord) and word.table != self._table_of(row):
+            self.real_start = word.generation
+            self._renew(
+                self.at, MemberUpdate(word.sender, word.generation, word.incarnation, MemberState.ALIVE)
+            )
+        if isinstance(word, GossipWithDigest) and word.membership_digest != self._table_of(row):
             calm = not self.busy()
-            self._apart = self.clock.now() + APART
+            self._apart = self.clock.now() + DIVERGENCE_US
             self.clock.call_at(self._apart, self._paced)
             if calm:
                 self._paced()
-        for each in word.news:
-            if each.name == row.name and each.start == row.start and each.state != State.ALIVE:
+        for each in word.updates:
+            if each.name == row.name and each.generation == row.start and each.state != MemberState.ALIVE:
                 row.incarnation = max(row.incarnation, each.incarnation + 1)
 
-    def _renew(self, index: int, after: News) -> None:
-        mark = mark_of(after.name, after.standing())
+    def _renew(self, index: int, after: MemberUpdate) -> None:
+        mark = hash_status(after.name, after.status())
         self._table ^= self._marks[index] ^ mark
         self._marks[index], self.news[index] = mark, after
 
@@ -292,7 +312,7 @@
         times[skip] = 0.0
         return times
 
-    def _change(self, index: int, after: News, wait: int) -> Change:
+    def _change(self, index: int, after: MemberUpdate, wait: int) -> Change:
         now = self.clock.now()
         times = self._spread(now + wait, index)
         first, most = min(each for each in times if each), sorted(times)[len(times) * 3 // 4]
@@ -310,8 +330,12 @@
         """
         row = self.rows[index]
         there = len(self.rows)
-        wait = int(self.draw.expovariate(there / (there * ANSWER))) + ANSWER + 2 * SECOND // 1000
-        told = News(row.name, row.start, row.incarnation, State.DEAD)
+        wait = (
+            int(self.draw.expovariate(there / (there * PROBE_TIMEOUT_US)))
+            + PROBE_TIMEOUT_US
+            + 2 * SECOND // 1000
+        )
+        told = MemberUpdate(row.name, row.start, row.incarnation, MemberState.DEAD)
         change = self._change(index, told, wait)
         self.clock.call_at(self.clock.now() + wait, self._is_gone, index, row.start)
         self._asides(index, change, (row.name,))
@@ -330,16 +354,18 @@
         row = Row(index, self.names[index], int(loop.wall() * 1000), loop.now(), loop)
         self.rows[index] = row
         self._listen(row)
-        change = self._change(index, News(row.name, row.start, 0, State.ALIVE), ANSWER)
+        change = self._change(
+            index, MemberUpdate(row.name, row.start, 0, MemberState.ALIVE), PROBE_TIMEOUT_US
+        )
         self._advance()
         self.lost.pop(index, None)
         self._again()
         self._asides(index, change, ())
-        loop.call_at(loop.now() + 2 * CLAIM_TIME, self.learn, row, "")
+        loop.call_at(loop.now() + 2 * CLAIM_TIMEOUT_US, self.learn, row, "")
 
     def _asides(self, index: int, change: Change, names: tuple[str, ...]) -> None:
         """Let each tell the real one whom it holds aside, at its next look after it has heard."""
-        apart = PAIR_TIME * len(self.names) ** 2 if len(self.names) > ALL_AT_ONCE else 0
+        apart = REVIEW_US_PER_PAIR * len(self.names) ** 2 if len(self.names) > MAX_UNPACED_MEMBERS else 0
         for each, row in self.rows.items():
             if each != index and each not in self.lost:
                 at = int(change.times[each] + self.draw.uniform(0, apart) / 2)
@@ -352,32 +378,34 @@
 
     # Calls
 
-    def _body(self, row: Row, **more: Any) -> Body:
-        return Body(f"{row.name}/{row.start:x}", row.loop.wall(), self.list, **more)
+    def _body(self, row: Row, **more: Any) -> CallBody:
+        return CallBody(f"{row.name}/{row.start:x}", row.loop.wall(), self.list, **more)
 
-    def call(self, row: Row, body: Body, done: Callable[[Answer | None], None] = lambda told: None) -> None:
+    def call(
+        self, row: Row, body: CallBody, done: Callable[[ReplyBody | None], None] = lambda told: None
+    ) -> None:
         """Call the real one."""
         if row.client is None:
-            row.client = HttpClient(row.loop, ClientLimits(idle_each=32), f"mintmast/{row.name}")
+            row.client = HttpClient(row.loop, ClientLimits(idle_per_address=32), f"mintmast/{row.name}")
         self.counts[
             "aside" if body.aside is not None else "learn" if body.learn is not None else "claim"
         ] += 1
         data = msgspec.json.encode(body)
-        mac = PeerLines._mac(self.secret, data)
+        mac = PeerTransport._compute_mac(self.secret, data)
 
-        def ended(reply: Reply | Fault) -> None:
+        def ended(reply: Reply | CallFailure) -> None:
             good = isinstance(reply, Reply) and reply.status == 200
             self.counts["answered" if good else "unanswered"] += 1
-            done(msgspec.json.decode(reply.body, type=Answer) if good else None)
+            done(msgspec.json.decode(reply.body, type=ReplyBody) if good else None)
 
-        headers = [("Content-Type", "application/json"), (MAC, mac)]
+        headers = [("Content-Type", "application/json"), (MAC_HEADER, mac)]
         until = row.loop.now() + WAIT
         row.client.call(self.place(self.real), "POST", PATH, ended, headers, data, until)
 
     def learn(self, row: Row, after: str) -> None:
         """Let one ask what the real one knows, page by page."""
 
-        def told(answer: Answer | None) -> None:
+        def told(answer: ReplyBody | None) -> None:
             if answer is not None and answer.more and answer.records:
                 self.learn(row, answer.records[-1][0])
 
@@ -397,7 +425,7 @@
         """Let one claim this key, and settle it: give it back a second later, or not."""
         row = self.rows[index]
         row.number += 1
-        self.call(row, self._body(row, digest=digest, number=row.number, keep_ms=KEPT // 1000))
+        self.call(row, self._body(row, digest=digest, number=row.number, keep_ms=RECORD_RETENTION_US // 1000))
         if released:
             later = self.clock.now() + SECOND
             body = self._body(row, digest=digest, number=row.number, release=True)
@@ -406,31 +434,31 @@
     def key(self) -> str:
         """Draw a key on which the real one is a witness."""
         while True:
-            digest = digest_of(str(self.draw.getrandbits(60)))
+            digest = hash_key(str(self.draw.getrandbits(60)))
             # most have no chance, which its own weight tells: the third of N is seldom over 8 / N
             own = hashlib.blake2b(f"{self.real} {digest}".encode(), digest_size=8).digest()
             if int.from_bytes(own, "big") * len(self.names) < 8 << 64:
-                if self.real in witnesses_of(digest, self.names):
+                if self.real in select_witnesses(digest, self.names):
                     return digest
 
     # Answers
 
     def _called(self, row: Row, exchange: Exchange) -> None:
-        if exchange.path == roster.PATH:
-            word = self.seals.open(exchange.body)
-            if word is None or word.kind != Kind.PING:
-                exchange.problem(401, "not a word that wants an answer")
+        if exchange.path == membership_transport.PATH:
+            word = self.seals.decode(exchange.body)
+            if word is None or word.kind != GossipKind.PING:
+                exchange.respond_problem(401, "not a word that wants an answer")
                 return
             self._heard(row, word)
-            told = self._made(row, Kind.ACK, word.number, word.about)
+            told = self._made(row, GossipKind.ACK, word.probe_number, word.subject)
             exchange.respond(200, [("Content-Type", "application/octet-stream")], told)
             return
-        mac = exchange.headers.get(MAC, "")
-        body = msgspec.json.decode(exchange.body, type=Body)
-        answer = Answer(start=row.start)
+        mac = exchange.headers.get(MAC_HEADER, "")
+        body = msgspec.json.decode(exchange.body, type=CallBody)
+        answer = ReplyBody(start=row.start)
         if body.learn is not None:
             answer.records = self._known(body.learn)
-            answer.more = len(answer.records) >= LEARNT_AT_ONCE
+            answer.more = len(answer.records) >= RECORDS_PER_PAGE
         elif body.aside is not None:
             answer.version = body.version
             if body.aside:  # it reads what the real one granted before it covers for it
@@ -438,14 +466,14 @@
         elif not body.release:
             answer.vote = Vote.GRANTED.value
         data = msgspec.json.encode(answer)
-        signed = PeerLines._mac(self.secret, mac.encode() + data)
-        exchange.respond(200, [("Content-Type", "application/json"), (MAC, signed)], data)
+        signed = PeerTransport._compute_mac(self.secret, mac.encode() + data)
+        exchange.respond(200, [("Content-Type", "application/json"), (MAC_HEADER, signed)], data)
 
-    def _known(self, after: str) -> tuple[Known, ...]:
+    def _known(self, after: str) -> tuple[KnownClaim, ...]:
         """Give records of the real one's keys: each is known to its other two witnesses and its owner."""
         if after:
             return ()
-        count = min(LEARNT_AT_ONCE - 1, round(3 * self.records / len(self.rows)))
-        kept = KEPT // 1000
+        count = min(RECORDS_PER_PAGE - 1, round(3 * self.records / len(self.rows)))
+        kept = RECORD_RETENTION_US // 1000
         owner = f"{self.names[self.at - 1]}/{self.real_start:x}"
         return tuple(sorted((self.key(), owner, 1, kept) for _ in range(count)))
--- a/mintmast/lab/scale/hollow_row.py
+++ b/mintmast/lab/scale/hollow_row.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mintmast.decisions.gateways.words import News
+from mintmast.decisions.gateways.gossip_messages import MemberUpdate
 from mintmast.http.client import HttpClient
 from mintmast.loop import Loop
-from mintmast.peers import roster
+from mintmast.peers import membership_transport
 
 
-class Seals(roster.Roster):
+class Seals(membership_transport.MembershipTransport):
     """A roster that seals and opens and does nothing else: no port, no `Members`."""
 
     def __init__(self, secret: str) -> None:
         self._secrets = [secret.encode()]
-        self.malformed = self.unsealed = 0
+        self.malformed = self.unauthenticated = 0
 
 
 @dataclass(slots=True)
@@ -41,8 +41,8 @@
     """A hollow gateway that stands otherwise: what was told, what is told, and who knows from when."""
 
     index: int
-    before: News
-    after: News
+    before: MemberUpdate
+    after: MemberUpdate
     times: list[float]
     first: float  # when the first knows, and when three in four do
     most: float
--- a/mintmast/lab/scale/lists.py
+++ b/mintmast/lab/scale/lists.py
@@ -24,21 +24,21 @@
 from mintmast.config import parse
 from mintmast.decide import Controller
 from mintmast.decisions import messages as msg
-from mintmast.decisions.gateways.records import Intent, Keeper, Kept, Kind, Recovered
-from mintmast.decisions.gateways.witness import digest_of
+from mintmast.decisions.gateways.records import Intent, RecordWriter, StoredRecord, RecordKind, RecoveredState
+from mintmast.decisions.gateways.witness import hash_key
 from mintmast.decisions.hosts.merging import Merger
 from mintmast.decisions.sessions.book import SessionBook
 from mintmast.lab.drills import PAID
 from mintmast.lab.scale.bench import SECOND, Bench
 from mintmast.lab.scale.record import Row
 from mintmast.lab.scale.sessions import Held, conf
-from mintmast.loop.memory import EPOCH
-from mintmast.loop.real import settle_memory
+from mintmast.loop.memory import EPOCH_S
+from mintmast.loop.real import tune_garbage_collector
 from mintmast.sources.files import read_servers
 from mintmast.store import Engine, StoreLine
 from mintmast.store.frames import framed
 from mintmast.store.line import Opened
-from mintmast.telemetry.lines import line_writer
+from mintmast.telemetry.lines import make_log_function
 from mintmast.telemetry.metrics import Metrics
 
 HOSTS = (100, 1_000, 10_000, 30_000)
@@ -65,7 +65,7 @@
             "cell": n,
             "zone": n % 2,
             "weight": 2.0 if n in changed else 1.0,
-            "started": float(EPOCH - 86_400),
+            "started": float(EPOCH_S - 86_400),
         }
         for n in range(count)
     ]
@@ -74,13 +74,13 @@
 
 def hand_over(book: SessionBook, now: int, entries: tuple[api.ListEntry, ...]) -> tuple[int, int, int]:
     """Let the book have changed entries, and its wakings; give ns in all, of the longest turn, and turns."""
-    events: list[Any] = [msg.ListNews(api.ListKind.DELTA, 1, entries)]
+    events: list[Any] = [msg.ServerListUpdate(api.ListKind.DELTA, 1, entries)]
     turns = []
     while events:
-        took, commands = _ns(partial(book.take, now, events.pop(0)))
+        took, commands = _ns(partial(book.handle, now, events.pop(0)))
         turns.append(took)
-        wanted = [each.token for each in commands if isinstance(each, msg.Wake)]
-        events += [msg.Due(token) for token in wanted if token[0] in ("entries", "watches")]
+        wanted = [each.token for each in commands if isinstance(each, msg.ScheduleTimer)]
+        events += [msg.TimerFired(token) for token in wanted if token[0] in ("entries", "watches")]
     return sum(turns), max(turns), len(turns)
 
 
@@ -92,8 +92,8 @@
     book.start(1)
     changed = set(random.Random(seed).sample(range(count), max(1, count // CHANGED)))
     for what, text in (("full", text_of(count)), ("change", text_of(count, changed))):
-        read, entries = _ns(partial(read_servers, text, config["fleet"], now, EPOCH + now / SECOND))
-        merge, news = _ns(partial(merger.offer, now, "file", entries))
+        read, entries = _ns(partial(read_servers, text, config["fleet"], now, EPOCH_S + now / SECOND))
+        merge, news = _ns(partial(merger.update_source, now, "file", entries))
         hand, turn, turns = hand_over(book, now, tuple(news))
         told |= {f"{what}_parse": read, f"{what}_merge": merge, f"{what}_tell": hand, f"{what}_slice": turn}
         told[f"{what}_turn"] = read + merge + turn  # read, merged and first slice are one turn of the loop
@@ -169,21 +169,23 @@
         10**13, key, name, "host1:9000", 10**15, 10**12, 3, PAID, "north-tv", "gate-1", 3, 120 * SECOND, 1, 8,
         False, "gw0/1a2f3c4d5e6", number,
     )  # fmt: skip
-    return digest_of(key), told
+    return hash_key(key), told
 
 
 def record_loop() -> tuple[float, float]:
     """Give ms in the gateway's loop and bytes to the writer, of one paid set-up's record made durable."""
     loop, done = _Writer(), []
     process: Any = SimpleNamespace(poll=lambda: None)
-    store = StoreLine(loop, Opened("a", "gw0", None, process, Recovered(), 1))  # type: ignore[arg-type]
-    keeper = Keeper(store.write)
-    store.attach(lambda event: keeper.written(loop.time, event), lambda event, **fields: None)
-    keeper.begin(SECOND, 0)
+    store = StoreLine(loop, Opened("a", "gw0", None, process, RecoveredState(), 1))  # type: ignore[arg-type]
+    keeper = RecordWriter(store.write)
+    store.attach(lambda event: keeper.handle_written(loop.time, event), lambda event, **fields: None)
+    keeper.start(SECOND, 0)
     intents, spent = [_intent(number) for number in range(TIMED)], 0
     for token, (digest, intent) in enumerate(intents, 1):
         took, _ = _ns(
-            lambda d=digest, i=intent: keeper.keep(loop.time, Kind.INTENT, d, i, lambda *a: done.append(a))
+            lambda d=digest, i=intent: keeper.save(
+                loop.time, RecordKind.INTENT, d, i, lambda *a: done.append(a)
+            )
         )
         loop.run(loop.time + 1)  # the push
         answer = framed([token, True, ""])
@@ -200,9 +202,13 @@
         for first in range(0, count, 1000):
             made = [_intent(number) for number in range(first, min(count, first + 1000))]
             engine.write(
-                Kept(Kind.INTENT.value, digest, msgspec.msgpack.encode(told)) for digest, told in made
+                StoredRecord(RecordKind.INTENT.value, digest, msgspec.msgpack.encode(told))
+                for digest, told in made
             )
-        alone = [Kept(Kind.INTENT.value, d, msgspec.msgpack.encode(t)) for d, t in map(_intent, range(50))]
+        alone = [
+            StoredRecord(RecordKind.INTENT.value, d, msgspec.msgpack.encode(t))
+            for d, t in map(_intent, range(50))
+        ]
         commit = sum(_ns(partial(engine.write, [each]))[0] for each in alone) / len(alone) / 1e6
         engine.close()
         size = sum(each.stat().st_size for each in Path(folder).iterdir())
@@ -223,7 +229,7 @@
 def _told_rows(count: int, seed: int) -> list[Row]:
     """Measure a log line, and an answer of metrics, after so many requests."""
     sink, metrics = io.StringIO(), Metrics()
-    say = line_writer(sink, lambda: float(EPOCH), gateway="gw0")
+    say = make_log_function(sink, lambda: float(EPOCH_S), gateway="gw0")
     fields = {
         "session": f"gw0-1a2f3c4d5e6-{count}", "verdict": "plays", "reason": "", "host": "host1:9000",
         "rung": 3, "attempts": 1, "took_ms": 12.345,
@@ -246,7 +252,7 @@
     """Give all rows; sizes count hosts. Lines are measured at `LINED`, records and the log at `RECORDS`."""
     told: list[Row] = []
     before = gc.get_threshold()
-    settle_memory()  # as `mintmast serve` does: full collections would count as the gateway's time
+    tune_garbage_collector()  # as `mintmast serve` does: full collections would count as the gateway's time
     try:
         for seed in seeds:
             for size in sizes:
--- a/mintmast/lab/scale/peers.py
+++ b/mintmast/lab/scale/peers.py
@@ -18,16 +18,16 @@
 
 import msgspec
 
-from mintmast.decisions.gateways import talk
+from mintmast.decisions.gateways import claim_messages
 from mintmast.decisions.gateways.members import Members
-from mintmast.decisions.gateways.records import Recovered
-from mintmast.decisions.gateways.standing import Proof
-from mintmast.decisions.gateways.witness import Rendezvous, digest_of, witnesses_of
-from mintmast.decisions.gateways.witnessing import Witnessing
+from mintmast.decisions.gateways.records import RecoveredState
+from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.gateways.witness import WitnessSelector, hash_key, select_witnesses
+from mintmast.decisions.gateways.witness_service import WitnessService
 from mintmast.lab.scale.record import Row
 from mintmast.lab.scale.tapped import SECOND, bench, claim_often, names_of, start
 from mintmast.loop.memory import World
-from mintmast.peers.lines import CALL_BYTES, Body
+from mintmast.peers.transport import MAX_CALL_BYTES, CallBody
 
 SIZES = (50, 200, 800, 3400, 6800)
 # the most members that `peers.members` takes, by the schema
@@ -77,9 +77,9 @@
     began = time.process_time_ns()
     part = Members(names[0], 1, names, random.Random(seed))
     for name in names[1:]:
-        part.others[name].placed = 0
+        part.others[name].address_generation = 0
     memory = tracemalloc.get_traced_memory()[0]
-    witness = Witnessing(names[0], 1, Rendezvous(names), lambda command: None, lambda now: {})
+    witness = WitnessService(names[0], 1, WitnessSelector(names), lambda command: None, lambda now: {})
     more = tracemalloc.get_traced_memory()[0] - memory
     tracemalloc.stop()
     del part, witness
@@ -87,7 +87,7 @@
     row("witness.memory", "MB", more / 1e6, "`Witnessing` alone, no records")
     began = time.process_time_ns()
     Members(names[0], 1, names, random.Random(seed)).begin(0)
-    Witnessing(names[0], 1, Rendezvous(names), lambda command: None, lambda now: {})
+    WitnessService(names[0], 1, WitnessSelector(names), lambda command: None, lambda now: {})
     row("membership.build", "ms", (time.process_time_ns() - began) / 1e6, "`Members` and `Witnessing`")
 
 
@@ -102,9 +102,9 @@
     start(other.node(names_of(size)[0]), names_of(size), seed)
     row("membership.start", "ms", (time.process_time_ns() - began) / 1e6, "a whole gateway without hosts")
     meter, gateway = made.meter, made.gateway
-    part = gateway.core.book.claims.part
+    part = gateway.core.book.claims.witness_service
     if size > MOST_PLAYED:
-        part.learn = lambda now: _ask_all(part, now)  # type: ignore[method-assign]
+        part.handle_review_timer = lambda now: _ask_all(part, now)  # type: ignore[method-assign]
     made.run(2.0)
     note = "processor time of the first 2 s with no records held: calls and looks"
     if size > MOST_PLAYED:
@@ -122,7 +122,7 @@
     row("membership.descriptors.allowed", "count", allowed, "connections that the peers' port takes")
     members, learning = gateway.roster.members, 1.0
     made.run(1.0)
-    while not members._calm(made.world.time) and learning < LEARNING:
+    while not members._is_idle(made.world.time) and learning < LEARNING:
         made.run(1.0)
         learning += 1
     row(
@@ -146,18 +146,18 @@
     names = names_of(size)
     took = []
     for number in range(20):
-        digest = digest_of(f"{seed}/{number}")
+        digest = hash_key(f"{seed}/{number}")
         began = time.process_time_ns()
-        witnesses_of(digest, names)
+        select_witnesses(digest, names)
         took.append((time.process_time_ns() - began) / 1e6)
     row("keys.witnesses", "ms", statistics.median(took), "median of 20")
     # the learning of the start is not played: it is measured by itself
     made = bench(size, seed, claims=CLAIMS)
-    part, meter = made.gateway.core.book.claims.part, made.meter
-    part.learn = lambda now: None  # type: ignore[method-assign]
-    for name in part.covers.others:
-        part.covers.stands(name, Proof.HEARD, 1)
-    part.covers._all = part.covers.begun = True
+    part, meter = made.gateway.core.book.claims.witness_service, made.meter
+    part.handle_review_timer = lambda now: None  # type: ignore[method-assign]
+    for name in part.exclusions.peers:
+        part.exclusions.update_peer(name, Liveness.HEARD, 1)
+    part.exclusions._knows_all = part.exclusions.earlier_claims_settled = True
     made.run(2.0)
     meter.clear()
     made.run(4.0)
@@ -169,10 +169,10 @@
         row(f"keys.claim.witness.{way}", "B", meter.bytes[f"tcp.{way}"] / witnessed, told)
     row("keys.rate.witness", "1/s", witnessed / 4.0, f"at {CLAIMS} paid keys a gateway a second, assumed")
     row("keys.core.witness", "% core", spent / 4.0 / 1e7)
-    records = len(part.witness)
+    records = len(part.records)
     if records:
         began = time.process_time_ns()
-        part._known(made.world.time, names[0], "")
+        part._list_known_claims(made.world.time, names[0], "")
         each = (time.process_time_ns() - began) / 1e6 / records
         row("witness.learn_answer", "ms", each, "answer to a learner's page, for each record held here")
     made.hollow.claims = 0.0
@@ -180,7 +180,7 @@
     meter.clear()
     claim_often(made.world, made.gateway, CLAIMS, 0.05, random.Random(seed))
     made.run(4.0)
-    claims = made.gateway.core.book.claims._number or 1
+    claims = made.gateway.core.book.claims._last_number or 1
     spent = meter.spent["keys.owner"] + meter.spent["lines"]
     row("keys.claim.owner", "ms", spent / claims / 1e6, "a claim at its owner, with its calls and releases")
     for way in ("sent", "received"):
@@ -195,26 +195,32 @@
     names = names_of(size)
     for figure, kept in (("witness.look", True), ("witness.look.learnt", False)):
         asked: list[Any] = []
-        part = Witnessing(names[0], 10, Rendezvous(names), asked.append, lambda now: {})
+        part = WitnessService(names[0], 10, WitnessSelector(names), asked.append, lambda now: {})
         now = 1000 * SECOND
-        part.begin_learning(now, Recovered(life=5, marked=True) if kept else None)
-        part._apart, part.covers.begun = 0, True
+        part.start(now, RecoveredState(generation=5, marked_complete=True) if kept else None)
+        part._review_interval, part.exclusions.earlier_claims_settled = 0, True
         lost, rest = names[-1], names[1:-1]
         if not kept:
-            each = _sampled(part, now) * len(part.covers.others)
+            each = _sampled(part, now) * len(part.exclusions.peers)
             told = f"{SAMPLES} names' part of a look, times their number; at a start, none heard yet"
             row("witness.look.start.sampled", "ms", each, told)
-        part.covers.stands(lost, Proof.CONFIRMED, 1)
+        part.exclusions.update_peer(lost, Liveness.CONFIRMED, 1)
         for name in rest:
-            part.covers.stands(name, Proof.HEARD, 1)
-        part.covers.go_on(now)  # asks all
-        for each in [each for each in asked if isinstance(each, talk.SendLearn) and each.peer != lost]:
-            part.covers.learnt(now, talk.Learnt(each.peer, number=each.number, start=1))
+            part.exclusions.update_peer(name, Liveness.HEARD, 1)
+        part.exclusions.send_pending(now)  # asks all
+        for each in [
+            each for each in asked if isinstance(each, claim_messages.SendLearnRequest) and each.peer != lost
+        ]:
+            part.exclusions.handle_learn_reply(
+                now, claim_messages.LearnReply(each.peer, number=each.number, generation=1)
+            )
         told = "with whole records" if kept else "after learning from all but the one that is out"
         if not kept or size <= MOST_LOOK:
-            part.covers.go_on(now + SECOND)  # tells all whom it holds aside; later looks are the usual ones
+            part.exclusions.send_pending(
+                now + SECOND
+            )  # tells all whom it holds aside; later looks are the usual ones
         if kept:
-            each = _sampled(part, now + 2 * SECOND) * len(part.covers.others)
+            each = _sampled(part, now + 2 * SECOND) * len(part.exclusions.peers)
             row(
                 f"{figure}.sampled",
                 "ms",
@@ -226,38 +232,40 @@
         took = []
         for number in range(3):
             began = time.process_time_ns()
-            part._look(now + (3 + number) * SECOND)
+            part._review(now + (3 + number) * SECOND)
             took.append((time.process_time_ns() - began) / 1e6)
         row(figure, "ms", max(took), f"longest of three, {told}")
         row(f"{figure}.typical", "ms", statistics.median(took), told)
 
 
-def _ask_all(part: Witnessing, now: int) -> None:
+def _ask_all(part: WitnessService, now: int) -> None:
     """Ask all others without the look over all pairs for those waited for; the next look is as far off."""
-    part.covers.begun, part._look_from = True, now + part._apart
-    part.covers.go_on(now)
+    part.exclusions.earlier_claims_settled, part._next_review_at = True, now + part._review_interval
+    part.exclusions.send_pending(now)
 
 
-def _sampled(part: Witnessing, now: int) -> float:
+def _sampled(part: WitnessService, now: int) -> float:
     """Give ms of one name's part in a look: what is asked of it, told to it, whether it is waited for."""
-    covers = part.covers
-    names = list(covers.others)[:: max(1, len(covers.others) // SAMPLES)]
+    covers = part.exclusions
+    names = list(covers.peers)[:: max(1, len(covers.peers) // SAMPLES)]
     began = time.process_time_ns()
     for name in names:
-        other = covers.others[name]
-        covers._ask(now, name, other)
-        covers._tell_aside(now, name, other)
-        covers._settled(name, other, covers._out)
+        other = covers.peers[name]
+        covers._send_learn_if_due(now, name, other)
+        covers._send_exclusions_if_due(now, name, other)
+        covers._votes_with(name, other, covers._unreachable)
     return (time.process_time_ns() - began) / 1e6 / len(names)
 
 
 def _bodies(size: int, row: Callable[..., None]) -> None:
     """Give the bytes of the largest call, which names all other gateways."""
     names = names_of(size)
-    body = Body(f"{names[0]}/18a3f3c2d10", 1.8e9, "0" * 16, aside=names[2:], version=1, to=1_800_000_000_000)
+    body = CallBody(
+        f"{names[0]}/18a3f3c2d10", 1.8e9, "0" * 16, aside=names[2:], version=1, to=1_800_000_000_000
+    )
     data = msgspec.json.encode(body)
     one = 3 + len(names[0])
-    told = f"budget {CALL_BYTES}, passed at {(CALL_BYTES - len(data) + one * (size - 2)) // one + 2} gateways"
+    told = f"budget {MAX_CALL_BYTES}, passed at {(MAX_CALL_BYTES - len(data) + one * (size - 2)) // one + 2} gateways"
     row("call.body", "B", len(data), f"names of {len(names[0])} letters; {told}")
 
 
--- a/mintmast/lab/scale/proof.py
+++ b/mintmast/lab/scale/proof.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from mintmast.decisions.gateways.witness import digest_of, witnesses_of
+from mintmast.decisions.gateways.witness import hash_key, select_witnesses
 from mintmast.lab.scale.hollow import Hollow
 from mintmast.lab.scale.record import Row
 from mintmast.lab.scale.tapped import (
@@ -34,7 +34,7 @@
     start,
 )
 from mintmast.lab.stage import PEER_PORT
-from mintmast.loop.base import DEFAULT, Close, Limits
+from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, StreamLimits
 from mintmast.loop.memory import World
 
 # s until all have heard of all, also at 200
@@ -96,13 +96,13 @@
 
     So that the runs start alike and at once: what all tell all at a common start is measured in `peers.py`.
     """
-    parts = [gateway.core.book.claims.part for gateway in gateways]
+    parts = [gateway.core.book.claims.witness_service for gateway in gateways]
     for part in parts:
-        part.learn = lambda now: None
+        part.handle_review_timer = lambda now: None
     world.run(world.time + int(SETTLED * SECOND))
     for part in parts:
-        part.covers._all = part.covers.begun = True
-        del part.learn
+        part.exclusions._knows_all = part.exclusions.earlier_claims_settled = True
+        del part.handle_review_timer
 
 
 # a course that stands ready to be measured
@@ -138,8 +138,8 @@
         draw, at = random.Random(f"{seed}/{row.name}/claims"), world.time + 1
         while at < world.time + SPANS["claims"] * SECOND:
             wait = int(draw.expovariate(CLAIMS) * SECOND) + 1
-            digest, released = digest_of(str(draw.getrandbits(60))), draw.random() < RELEASED
-            if hollow.real in witnesses_of(digest, hollow.names):
+            digest, released = hash_key(str(draw.getrandbits(60))), draw.random() < RELEASED
+            if hollow.real in select_witnesses(digest, hollow.names):
                 world.at(at, hollow.claimed, index, digest, released)
             at += wait
 
@@ -199,24 +199,24 @@
 class _Player:
     """A stream's other side as it was kept: what is written goes nowhere, what came comes again."""
 
-    handed_over = 0
+    bytes_sent = 0
 
     def __init__(self, handler: Any) -> None:
         self.handler, self.over = handler, False
 
     def write(self, data: bytes) -> bool:
-        self.handed_over += len(data)
+        self.bytes_sent += len(data)
         return True
 
     def abort(self) -> None:
-        self.told("closed", Close.LOCAL)
+        self.told("closed", CloseReason.LOCAL)
 
     def close(self) -> None:  # its end was kept, and comes
         pass
 
     finish = pause = resume = close
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         return False
 
     def told(self, what: str, arg: Any) -> None:
@@ -236,9 +236,9 @@
         super().__init__(world, name, meter)
         self._players: dict[str, _Player] = {}
         for at, stream, what, arg in tape:
-            world.at(at, self.do, self._play, stream, what, arg)
+            world.at(at, self.run_callback, self._play, stream, what, arg)
 
-    def connect(self, host: str, port: int, handler: Any, limits: Limits = DEFAULT) -> Any:
+    def connect(self, host: str, port: int, handler: Any, limits: StreamLimits = DEFAULT_LIMITS) -> Any:
         """Take a handler whose stream was kept."""
         tapped = self._tap("out", handler)
         self._players[tapped._name] = player = _Player(tapped)
--- a/mintmast/lab/scale/sessions.py
+++ b/mintmast/lab/scale/sessions.py
@@ -24,7 +24,7 @@
 
 from mintmast import interface as api
 from mintmast.config import parse
-from mintmast.core.service import EPOCHS_A_MS
+from mintmast.core.service import EPOCHS_PER_MS
 from mintmast.decisions import messages as msg
 from mintmast.decisions.sessions.sessions import Signal
 from mintmast.fronts.tokens import Keys
@@ -33,8 +33,8 @@
 from mintmast.lab.scale.bench import SECOND, Bench, Viewer
 from mintmast.lab.scale.record import Row
 from mintmast.lab.stage import ACCESS, SESSION
-from mintmast.loop.memory import EPOCH
-from mintmast.loop.real import settle_memory
+from mintmast.loop.memory import EPOCH_S
+from mintmast.loop.real import tune_garbage_collector
 
 SIZES = (1_000, 10_000, 30_000, 76_500, 153_000)
 # s that a session lasts: a clip, and an hour of a film or live event. The range of an assumption
@@ -82,9 +82,9 @@
         controller = self.gateway.controller
         request = controller.handlers[api.SessionRequest]
         controller.handlers[api.SessionRequest] = self._timed("request", request)
-        controller._price = self._timed("price", controller._price)
+        controller._compute_price = self._timed("price", controller._compute_price)
         key = Keys([ACCESS]).keys[ACCESS["kid"]][0].key
-        claims = {"aud": "mintmast", "tenant": "north-tv", "class": FREE, "rung": 3, "exp": EPOCH + 10**6}
+        claims = {"aud": "mintmast", "tenant": "north-tv", "class": FREE, "rung": 3, "exp": EPOCH_S + 10**6}
         self._tokens = [
             jwt.encode({**claims, "sub": f"v{n}", "jti": f"k{n}"}, key, "HS256", {"kid": ACCESS["kid"]})
             for n in range(50)
@@ -127,19 +127,19 @@
             first, last = (count * n // self.hosts for n in (host, host + 1))
             for _ in range(first, last):
                 self._hold(host)
-            core._do(core.book._out)
-            core.book._out = []
+            core._execute(core.book._commands)
+            core.book._commands = []
         self.bench.run(begin + every)
 
     def tell(self) -> None:
         """Let the module hear of all sessions that play."""
         for host in range(self.hosts):
-            numbers = list(self.gateway.core.book.sessions.at(b"host%d:9000" % host))
+            numbers = list(self.gateway.core.book.sessions.playing_at(b"host%d:9000" % host))
             self._tell(host, numbers)
 
     def known(self) -> None:
         """Keep who plays, for polls and ends."""
-        at = self.gateway.core.book.sessions.at
+        at = self.gateway.core.book.sessions.playing_at
         self.playing = [(host, number) for host in range(self.hosts) for number in at(b"host%d:9000" % host)]
 
     def _hold(self, host: int) -> None:
@@ -148,26 +148,26 @@
         title = host * len(self.gateway.config.titles) // self.hosts
         self._asked += 1
         key = f"north-tv/v{self._asked}/{FREE}/gate-{title}/wish-{self._asked}"
-        ask = msg.Ask(self._asked, 1, 0, title, host, 8, 3, 3 * SECOND, key, LENGTHS[0] * SECOND)
-        session = book.sessions.open(ask, now + ask.budget, api.Effect.FREE)
+        ask = msg.ViewerRequest(self._asked, 1, 0, title, host, 8, 3, 3 * SECOND, key, LENGTHS[0] * SECOND)
+        session = book.sessions.open(ask, now + ask.timeout, api.Effect.FREE)
         session.server, session.attempts, session.rung = server, 1, 3
-        session.sent_at = session.started = now
-        session.epoch = core.start_number * EPOCHS_A_MS + session.number
-        book.leases.begin(now, server, session)
-        session.take(Signal.SENT)
-        session.take(Signal.STARTED)
-        book.sessions.plays(session, server)
-        book.leases.started(now, server, session)
-        book.keys.take(key, session.number)
+        session.sent_at = session.first_played_at = now
+        session.epoch = core.generation * EPOCHS_PER_MS + session.number
+        book.leases.begin_set_up(now, server, session)
+        session.apply_signal(Signal.SENT)
+        session.apply_signal(Signal.STARTED)
+        book.sessions.add_playing(session, server)
+        book.leases.record_started(now, server, session)
+        book.keys.hold(key, session.number)
 
     def _tell(self, host: int, numbers: list[int]) -> None:
         controller, now, server = self.gateway.controller, self.bench.time, b"host%d:9000" % host
         for number in numbers:
-            ask = self.gateway.core.book.sessions.by_number[number].ask
+            ask = self.gateway.core.book.sessions.by_number[number].request
             told = api.SessionOpen(number, 1, 0, ask.title, 3, server, ask.length)
             controller.handle(now, told)
             controller.handle(now, api.Note(number, server, api.NoteKind.RUNG, 3))
-            controller.sessions[number].unsettled = False  # or each would be settled anew at a note
+            controller.sessions[number].rung_is_provisional = False  # or each would be settled anew at a note
 
     def arrive(self, window: int, wanted: int, level: bool) -> None:
         """Let a viewer of a window ask; where the level is kept, another's session ends at its host."""
@@ -184,7 +184,7 @@
             place = self.random.randrange(len(self.playing))
             self.playing[place], last = self.playing[-1], self.playing[place]
             self.playing.pop()
-            name = self.gateway.core.name(last[1])
+            name = self.gateway.core.session_name(last[1])
             self.bench.line(f"host{last[0]}:9000", "ended", session=name, why="played")
 
     def window(self, rate: float, seconds: float, level: bool = True, paced: bool = False) -> None:
@@ -208,10 +208,10 @@
         core, dash = self.gateway.core, self.gateway.dash
         for host, number in self.random.sample(self.playing, min(count, len(self.playing))):
             session = core.book.sessions.by_number[number]
-            title = next(t for t in self.gateway.config.titles.values() if t.number == session.ask.title)
+            title = next(t for t in self.gateway.config.titles.values() if t.number == session.request.title)
             until = self.bench.wall() + 600
             at = f"host{host}:9000"
-            token = dash.sessions.sign(core.name(number), title.name, at, 3, session.epoch, until)
+            token = dash.sessions.sign(core.session_name(number), title.name, at, 3, session.epoch, until)
             viewer = Viewer(self.bench)
             self.viewers.append(viewer)
             viewer.ask("poll", f"/dash/steer?token={token}&CMCD=bl%3D8000", self.bench.time)
@@ -360,7 +360,7 @@
     """Measure one size; takes the process's memory for its own."""
     held, process = Held(seed), psutil.Process()
     told = _Rows(held, size, seed)
-    settle_memory()
+    tune_garbage_collector()
     empty = process.memory_info().rss
     held.fill(size)
     book = process.memory_info().rss
--- a/mintmast/lab/scale/tapped.py
+++ b/mintmast/lab/scale/tapped.py
@@ -19,13 +19,13 @@
 
 from mintmast.config import Config, parse
 from mintmast.decisions import messages as msg
-from mintmast.decisions.gateways import talk
-from mintmast.decisions.gateways.witness import KEPT
+from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.witness import RECORD_RETENTION_US
 from mintmast.gateway import Gateway
 from mintmast.lab.drills.day import Day, settings
 from mintmast.lab.scale.hollow import Hollow
 from mintmast.lab.stage import ACCESS, GATEWAY_PORT, PEER_PORT, SESSION
-from mintmast.loop.base import DEFAULT, Close, Handler, Limits, Stream
+from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, Handler, StreamLimits, Stream
 from mintmast.loop.memory import Node, World
 
 SECOND = 1_000_000
@@ -104,7 +104,7 @@
         self._node.told(self._name, "drained")
         self._handler.drained()
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         self._node.told(self._name, "closed", reason)
         self._handler.closed(reason)
 
@@ -123,12 +123,12 @@
     def __init__(self, world: World, name: str, meter: Meter) -> None:
         super().__init__(world, name, 0.0)
         self.meter = meter
-        self._run = meter.timed("rest", super().do)
+        self._run = meter.timed("rest", super().run_callback)
         self.most_streams = 0
         self.tape: list[Told] | None = None
         self._taps: dict[str, int] = defaultdict(int)
 
-    def do(self, what: Callable[..., Any], *args: Any) -> None:
+    def run_callback(self, what: Callable[..., Any], *args: Any) -> None:
         """Run a callback in a timed turn."""
         self._run(what, *args)
         self.most_streams = max(self.most_streams, len(self._streams))
@@ -142,15 +142,17 @@
         self._taps[kind] += 1
         return _Tapped(self, f"{kind}{self._taps[kind]}", handler)
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> Any:
+    def connect(self, host: str, port: int, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS) -> Any:
         """Connect, with the bytes counted."""
         return super().connect(host, port, self._tap("out", handler), limits)
 
-    def listen(self, host: str, port: int, accept: Any, backlog: int = 512, limits: Limits = DEFAULT) -> Any:
+    def listen(
+        self, host: str, port: int, accept: Any, backlog: int = 512, limits: StreamLimits = DEFAULT_LIMITS
+    ) -> Any:
         """Listen, with the bytes counted."""
         return super().listen(host, port, lambda: self._tap("in", accept()), backlog, limits)
 
-    def datagrams(self, host: str, port: int, take: Callable[..., Any]) -> Any:
+    def open_datagrams(self, host: str, port: int, take: Callable[..., Any]) -> Any:
         """Open a port, with the datagrams counted."""
 
         def came(data: bytes, peer: tuple[str, int]) -> None:
@@ -158,7 +160,7 @@
             self.told("udp", "came", (data, peer))
             take(data, peer)
 
-        bound = super().datagrams(host, port, came)
+        bound = super().open_datagrams(host, port, came)
         send = bound.send
 
         def sent(data: bytes, to: tuple[str, int]) -> None:
@@ -178,17 +180,17 @@
 
 
 _KINDS: dict[type, str] = {
-    talk.Voted: "keys.owner", Claim: "keys.owner", talk.Learnt: "learn", talk.AsideTold: "aside",
-    talk.PeerStands: "stands",
+    claim_messages.VoteReceived: "keys.owner", Claim: "keys.owner", claim_messages.LearnReply: "learn", claim_messages.ExclusionsAcknowledged: "aside",
+    claim_messages.PeerStatusChanged: "stands",
 }  # fmt: skip
 
 
 def kind_of(event: object) -> str:
     """Name the kind of work of an event at the core."""
-    if isinstance(event, talk.PeerCall):
-        asks = event.learn is not None
-        return "learn.answer" if asks else "aside" if event.aside is not None else "keys.witness"
-    if isinstance(event, msg.Due) and event.token[0] in ("learn", "claim"):
+    if isinstance(event, claim_messages.PeerCall):
+        asks = event.learn_after is not None
+        return "learn.answer" if asks else "aside" if event.excluded is not None else "keys.witness"
+    if isinstance(event, msg.TimerFired) and event.token[0] in ("learn", "claim"):
         return "learn" if event.token[0] == "learn" else "keys.owner"
     return _KINDS.get(type(event), "rest")
 
@@ -227,18 +229,18 @@
     gateway = Gateway(node, config_of(node.name, names, seed), seed)
     claims = gateway.core.book.claims
     gateway.core.book.handlers[Claim] = lambda now, event: (
-        claims.begin(now, event.session, event.key, KEPT, now + SECOND)
+        claims.claim_key(now, event.session, event.key, RECORD_RETENTION_US, now + SECOND)
         if event.key
-        else claims.settle(now, event.session, event.ran)
+        else claims.finish_session(now, event.session, event.ran)
     )
     if meter is None or gateway.roster is None or gateway.peers is None:
         return gateway
-    core, roster, lines, part = gateway.core, gateway.roster, gateway.peers, claims.part
+    core, roster, lines, part = gateway.core, gateway.roster, gateway.peers, claims.witness_service
     port: Any = roster._port
     for owner, name, kind in (
-        (port, "_take", "membership"), (roster, "_take", "membership"), (lines, "roster", "membership"),
-        (roster, "_call", "membership"), (core, "_take", kind_of), (lines.server, "handle", "lines"),
-        (lines, "_call", "lines"), (lines, "_answer", "lines"), (part, "_look", "look"),
+        (port, "_take", "membership"), (roster, "_take", "membership"), (lines, "answer_gossip", "membership"),
+        (roster, "_post", "membership"), (core, "_handle", kind_of), (lines.server, "handle", "lines"),
+        (lines, "_call", "lines"), (lines, "_decode_reply", "lines"), (part, "_review", "look"),
     ):  # fmt: skip
         setattr(owner, name, meter.timed(kind, getattr(owner, name)))
     return gateway
@@ -286,8 +288,8 @@
         world.at(world.time + int(draw.expovariate(rate) * SECOND) + 1, one)
         session = next(count)
         node: Any = gateway.loop
-        node.do(gateway.core._take, Claim(session, str(draw.getrandbits(60))))
+        node.run_callback(gateway.core._handle, Claim(session, str(draw.getrandbits(60))))
         settled = Claim(session, "", draw.random() >= released)
-        world.at(world.time + SECOND, node.do, gateway.core._take, settled)
+        world.at(world.time + SECOND, node.run_callback, gateway.core._handle, settled)
 
     world.at(world.time + 1, one)
--- a/mintmast/lab/spread.py
+++ b/mintmast/lab/spread.py
@@ -12,29 +12,29 @@
 
 import msgspec
 
-from mintmast.decisions.gateways import revising
+from mintmast.decisions.gateways import revision_types
 from mintmast.decisions.gateways.members import Members
-from mintmast.decisions.gateways.revising import (
-    NOTHING,
-    AskRevisions,
-    Check,
+from mintmast.decisions.gateways.revision_types import (
+    EMPTY_PATCH,
+    PullRevisions,
+    PatchValidator,
     Command,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
-    Ordered,
-    Pulled,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
+    OrderAnswered,
+    PullSucceeded,
     PullFailed,
-    Reply,
-    Say,
+    RevisionReply,
+    LogEvent,
     Stored,
-    Wake,
+    ScheduleTimer,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.rumours import Rumour
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
 from mintmast.lab.crowd import Crowd
 
 # µs of a write to a disk
@@ -67,17 +67,17 @@
         seed: int,
         regions: int = 1,
         document: bytes = FIRST,
-        check: Check = check,
+        check: PatchValidator = check,
         **more: Any,
     ) -> None:
         self.regions = [tuple(f"g{n}" for n in range(count) if n % regions == r) for r in range(regions)]
         self.document, self._check = document, check
         self.disks: dict[str, Stored] = {}
         self.configuration: dict[str, Revisions] = {}
-        self.force: dict[str, list[tuple[int, Head, bytes]]] = {f"g{n}": [] for n in range(count)}
-        self.past: list[list[tuple[int, Head, bytes]]] = []  # of gateways that lost their file
-        self.said: list[tuple[str, Say]] = []
-        self.answers: list[Ordered] = []
+        self.force: dict[str, list[tuple[int, RevisionId, bytes]]] = {f"g{n}": [] for n in range(count)}
+        self.past: list[list[tuple[int, RevisionId, bytes]]] = []  # of gateways that lost their file
+        self.said: list[tuple[str, LogEvent]] = []
+        self.answers: list[OrderAnswered] = []
         self.leader = "g0"
         self.pulled = self.pulled_bytes = 0
         super().__init__(count, seed, **more)
@@ -95,11 +95,11 @@
         self.vanished.discard(name)
         names = self.region(name)
         part = Members(name, number or self.now, names, random.Random(self.random.random()))
-        begun = Stored(Head(0, 0, digest_of(self.document)), self.document)
+        begun = Stored(RevisionId(0, 0, digest_of(self.document)), self.document)
         draw = random.Random(self.random.random())
         far = len(self.names) - len(names)
         revisions = Revisions(self.disks.get(name, begun), self._check, draw, len(names) - 1, far)
-        part.rumour = Rumour(revisions.history.after)
+        part.revision_gossip = RevisionGossip(revisions.history.deltas_after)
         self.parts[name], self.configuration[name] = part, revisions
         self._do(name, revisions.begin(self.now))
         self._carry(name, part.begin(self.now))
@@ -113,7 +113,7 @@
             self.past.append(self.force[name])
             self.force[name] = []
 
-    def order(self, name: str, event: revising.Publish | revising.TakeOver) -> None:
+    def order(self, name: str, event: revision_types.Publish | revision_types.TakeOver) -> None:
         """Let an operator's order come to a gateway, if it runs."""
         if name in self.parts and name not in self.held:
             self._take(name, self._lives[name], event)
@@ -121,77 +121,83 @@
     def take_over(self, name: str) -> None:
         """Let an operator make a gateway the publisher."""
         self.leader = name
-        self.order(name, revising.TakeOver(0))
+        self.order(name, revision_types.TakeOver(0))
 
-    def publish(self, event: revising.Publish) -> None:
+    def publish(self, event: revision_types.Publish) -> None:
         """Let an operator change the settings where the last take-over was ordered."""
         self.order(self.leader, event)
 
     # Course
 
     def _take(self, name: str, life: int, event: Any) -> None:
-        if not isinstance(event, revising.Event):
+        if not isinstance(event, revision_types.Event):
             super()._take(name, life, event)
         elif life == self._lives[name] and name in self.parts:
             if name in self.held:
                 self.held[name].append((life, event))
             else:
-                self._do(name, self.configuration[name].take(self.now, event))
+                self._do(name, self.configuration[name].handle(self.now, event))
 
     def _carry(self, name: str, commands: list) -> None:
-        super()._carry(name, [each for each in commands if not isinstance(each, HeadHeard)])
+        super()._carry(name, [each for each in commands if not isinstance(each, RevisionAnnounced)])
         for each in commands:
-            if isinstance(each, HeadHeard):
+            if isinstance(each, RevisionAnnounced):
                 self._take(name, self._lives[name], each)
 
     def _do(self, name: str, commands: list[Command]) -> None:
         life = self._lives[name]
         for command in commands:
-            if isinstance(command, Wake):
-                self._later(max(0, command.at - self.now), self._take, name, life, revising.Tick(command.at))
-            elif isinstance(command, InForce):
+            if isinstance(command, ScheduleTimer):
+                self._later(
+                    max(0, command.at - self.now),
+                    self._take,
+                    name,
+                    life,
+                    revision_types.TimerFired(command.at),
+                )
+            elif isinstance(command, ActiveRevision):
                 head = command.head
-                self.parts[name].rumour.changed((head.term, head.number, head.mark))
+                self.parts[name].revision_gossip.set_head((head.term, head.number, head.digest_prefix))
                 self.force[name].append((self.now, head, command.document))
-            elif isinstance(command, Keep):
+            elif isinstance(command, WriteRevision):
                 self._later(self.random.randint(*DISK), self._write, name, life, command)
-            elif isinstance(command, AskRevisions):
+            elif isinstance(command, PullRevisions):
                 self._later(self.random.randint(*self.delay), self._asked, name, life, command)
-            elif isinstance(command, Say):
+            elif isinstance(command, LogEvent):
                 self.said.append((name, command))
-            elif isinstance(command, Ordered):
+            elif isinstance(command, OrderAnswered):
                 self.answers.append(command)
 
-    def _write(self, name: str, life: int, command: Keep) -> None:
+    def _write(self, name: str, life: int, command: WriteRevision) -> None:
         """Write; of a process that died meanwhile, a write may have been in time."""
         died = life != self._lives[name]
         if died and (name in self.parts or name not in self.disks or self.random.random() < 0.5):
             return
-        self.disks[name] = Stored(command.head, command.document, command.leads)
-        self._take(name, life, Kept(command.number))
+        self.disks[name] = Stored(command.head, command.document, command.publisher_term)
+        self._take(name, life, WriteFinished(command.number))
 
-    def _asked(self, name: str, life: int, command: AskRevisions) -> None:
+    def _asked(self, name: str, life: int, command: PullRevisions) -> None:
         source = command.source
         far = [each for each in self.names if each not in self.region(name)]
         to = far[source] if isinstance(source, int) else source
         self.pulled += 1
-        self.pulled_bytes += len(msgspec.json.encode(command.question)) + sum(CALLED)
+        self.pulled_bytes += len(msgspec.json.encode(command.request)) + sum(CALLED)
         if to in self.held or to in self.vanished or (name, to) in self.cuts or (to, name) in self.cuts:
-            self._later(command.until - self.now, self._take, name, life, PullFailed(command.call))
+            self._later(command.deadline - self.now, self._take, name, life, PullFailed(command.call))
             return
         if to not in self.parts:
             self._take(name, life, PullFailed(command.call))
             return
-        reply = self.configuration[to].answer(command.question)
+        reply = self.configuration[to].answer(command.request)
         if reply is not None:
             self.pulled_bytes += len(msgspec.json.encode(reply))
             self._later(self.random.randint(*self.delay), self._told, name, life, to, command, reply)
 
-    def _told(self, name: str, life: int, to: str, command: AskRevisions, reply: Reply) -> None:
+    def _told(self, name: str, life: int, to: str, command: PullRevisions, reply: RevisionReply) -> None:
         if (name, to) in self.cuts or (to, name) in self.cuts:
-            self._later(command.until - self.now, self._take, name, life, PullFailed(command.call))
+            self._later(command.deadline - self.now, self._take, name, life, PullFailed(command.call))
         else:
-            self._take(name, life, Pulled(command.call, reply))
+            self._take(name, life, PullSucceeded(command.call, reply))
 
     # What must be so
 
@@ -203,14 +209,14 @@
         """Tell what must never be: a head that fell, one number for two documents, what does not check."""
         faults, documents = [], {}
         for all_ in (*self.force.values(), *self.past):
-            before = Head()
+            before = RevisionId()
             for _, head, document in all_:
                 if head.key < before.key:
                     faults.append(f"{head} after {before}")
                 before = head
                 if documents.setdefault(head.key, document) != document:
                     faults.append(f"{head} is another document elsewhere")
-                if self._check(document, NOTHING)[0] != document or digest_of(document) != head.digest:
+                if self._check(document, EMPTY_PATCH)[0] != document or digest_of(document) != head.digest:
                     faults.append(f"{head} does not check")
         return faults
 
@@ -222,7 +228,7 @@
     net.at(6, net.take_over, "g0")
     for number in range(1, int(seconds)):
         patch = json.dumps({draw.choice(("n", "m", "bad")): number}).encode()
-        net.at(7 + number + draw.random(), net.publish, revising.Publish(number, patch))
+        net.at(7 + number + draw.random(), net.publish, revision_types.Publish(number, patch))
     while at < seconds:
         kind = draw.choice(("cut", "stop", "kill", "lost file", "vanish", "zone", "region", "over"))
         until = min(at + draw.choice((0.5, 2.0, 6.0)), seconds)
--- a/mintmast/lab/stage.py
+++ b/mintmast/lab/stage.py
@@ -14,7 +14,7 @@
 import jwt
 
 from mintmast.config import parse
-from mintmast.decisions.hosts.registry import STATES
+from mintmast.decisions.hosts.registry import STATE_BY_STATUS
 from mintmast.fronts.tokens import Keys, SessionTokens
 from mintmast.gateway import Gateway
 from mintmast.http.client import ClientLimits, HttpClient
@@ -23,7 +23,7 @@
 from mintmast.lab.mutant import mutated
 from mintmast.lab.registry import RegistryStandIn
 from mintmast.lab.standin import StandIn
-from mintmast.loop.memory import Way, World
+from mintmast.loop.memory import PathConditions, World
 
 SECRET = "c3RhZ2Utb25seS1zZWNyZXQtb2YtdGhpcnR5LXR3by1ieXRlcw"
 ACCESS = {"kty": "oct", "kid": "viewers-1", "alg": "HS256", "k": SECRET}
@@ -165,7 +165,7 @@
         """Write a host's status to all registry nodes, and to the record."""
         for registry in self.registries:
             registry.put(self.hosts[number].name, status, up_ms, cell=number, zone=number % 2)
-        state = STATES[status].name.lower()
+        state = STATE_BY_STATUS[status].name.lower()
         self.record("list_written", states={self.hosts[number].name: state})
 
     def listed(self, number: int, **more: Any) -> dict[str, Any]:
@@ -202,9 +202,9 @@
         """Set what befalls what goes from one gateway to another; without `more` all is well."""
         raise NotImplementedError
 
-    def told_way(self, source: int, target: int, way: Way) -> None:
+    def told_way(self, source: int, target: int, way: PathConditions) -> None:
         """Keep what befalls a way in the record."""
-        self.record("way", source=f"gw{source}", target=f"gw{target}", talks=way.talks)
+        self.record("way", source=f"gw{source}", target=f"gw{target}", talks=way.is_usable)
 
     def at(self, seconds: float, do: Callable[..., Any], *args: Any) -> None:
         """Call at a time after the stage's begin."""
@@ -257,7 +257,7 @@
         """Start a gateway, or start it anew, its wall clock wrong by so many seconds."""
         if number in self._vanished:
             self._vanished.discard(number)
-            self.world.cuts = {pair for pair in self.world.cuts if f"gw{number}" not in pair}
+            self.world.cut_paths = {pair for pair in self.world.cut_paths if f"gw{number}" not in pair}
         node = self.world.node(self.machine(number))
         node.skew = wall_shift
         self.record("gateway_started", gateway=f"gw{number}")
@@ -299,7 +299,7 @@
         name = f"gw{number}"
         for other in self.world.nodes:
             if other != name:
-                self.world.cuts |= {(name, other), (other, name)}
+                self.world.cut_paths |= {(name, other), (other, name)}
         self.kill_gateway(number)
         self._vanished.add(number)
 
@@ -308,12 +308,12 @@
 
     def way(self, source: int, target: int, **more: Any) -> None:
         """Set what befalls what goes from one gateway to another; without `more` all is well."""
-        self.world.ways[f"gw{source}", f"gw{target}"] = way = Way(**more)
+        self.world.path_conditions[f"gw{source}", f"gw{target}"] = way = PathConditions(**more)
         self.told_way(source, target, way)
 
     def reset(self, one: int, other: int) -> None:
         """Reset all connections between two gateways."""
-        self.world.break_all(f"gw{one}", f"gw{other}")
+        self.world.reset_connections(f"gw{one}", f"gw{other}")
 
     def stop_gateway(self, number: int) -> None:
         """Let a gateway's process stand still."""
@@ -328,13 +328,13 @@
     def look(self, number: int, told: Callable[[dict[str, Any]], None]) -> None:
         """Tell what a gateway believes of the others, if it runs."""
         node = self.world.nodes[self.machine(number)]
-        if node.alive and node.frozen is None:
+        if node.alive and node.frozen_calls is None:
             told(self.gateways[number].members())
 
     def votes(self, number: int) -> bool:
         """Tell whether a gateway votes as a witness."""
         alive = self.world.nodes[self.machine(number)].alive
-        return alive and self.gateways[number].core.book.claims.part.voting
+        return alive and self.gateways[number].core.book.claims.witness_service.is_voting
 
     def gateway_url(self, number: int) -> str:
         """Give where a gateway serves."""
--- a/mintmast/lab/standin.py
+++ b/mintmast/lab/standin.py
@@ -94,7 +94,7 @@
             name = path.removeprefix("/v1/sessions/")
             act = {"PUT": self._set_up, "PATCH": self._rung, "DELETE": self._end}.get(exchange.method)
             if act is None:
-                exchange.problem(405, "no such method", headers=[("Allow", "PUT, PATCH, DELETE")])
+                exchange.respond_problem(405, "no such method", headers=[("Allow", "PUT, PATCH, DELETE")])
             else:
                 act(exchange, name)
         elif path == "/v1/leases" and exchange.method == "POST":
@@ -106,14 +106,14 @@
         elif path.startswith("/s/"):
             segment(self, exchange, path.split("/")[2:])
         else:
-            exchange.problem(404, "no such path")
+            exchange.respond_problem(404, "no such path")
 
     def resume(self) -> None:
         """End a hang: what waited is worked off now."""
         self.hang = False
         waiting, self._late = self._late, []
         for exchange in waiting:
-            if not exchange.done or exchange.method == "PUT":
+            if not exchange.is_answered or exchange.method == "PUT":
                 self._handle(exchange)
 
     def _note_arrival(self, exchange: Exchange) -> None:
@@ -128,7 +128,7 @@
         def gone() -> None:
             self.record("set_up_left", host=self.name, session=name, epoch=epoch)
 
-        exchange.on_gone = gone
+        exchange.on_disconnect = gone
 
     def _set_up(self, exchange: Exchange, name: str) -> None:
         body = _body(exchange)
@@ -138,9 +138,9 @@
             lease, paid = int(body["lease_ms"]) * 1000, body["paid"] is True
             call, clock, came_from = int(body["call"]), int(body["clock"]), str(body["from"])
         except (KeyError, ValueError, TypeError):
-            exchange.problem(400, "the set-up lacks what is needed")
+            exchange.respond_problem(400, "the set-up lacks what is needed")
             return
-        if exchange.on_gone is None:
+        if exchange.on_disconnect is None:
             self._note_arrival(exchange)
         over = self.overrun()
         if over is not None:
@@ -157,7 +157,7 @@
             return
         if self.draw() < self.errors:
             self._answered(name, epoch)
-            exchange.problem(500, "failed", headers=self._load())
+            exchange.respond_problem(500, "failed", headers=self._load())
             return
         factor = 1 + self.model.vary * (zlib.crc32(title.encode()) % 2001 / 1000 - 1)
         token = exchange.headers.get("idempotency-key", "")
@@ -192,14 +192,14 @@
         if draw < self.lose_answers + self.cut_answers:
             self._answered(name, epoch)
             self.record("answer_cut", host=self.name, session=name, epoch=epoch)
-            exchange.cut()
+            exchange.abort()
             return
         self._answered(name, epoch)
         exchange.respond(201, [*self._load(), ("Content-Type", "application/json")], b"{}")
 
     def _never_ran(self, exchange: Exchange, name: str, epoch: int, status: int, mark: str) -> None:
         self._answered(name, epoch)
-        exchange.problem(status, mark, headers=[(NEVER_RAN, mark), *self._load()])
+        exchange.respond_problem(status, mark, headers=[(NEVER_RAN, mark), *self._load()])
 
     def _answered(self, name: str, epoch: int) -> None:
         self.record("set_up_answered", host=self.name, session=name, epoch=epoch)
@@ -208,7 +208,7 @@
         body = _body(exchange)
         held = self.sessions.get(name)
         if held is None or body.get("epoch") != held.epoch:
-            exchange.problem(404, "no such session")
+            exchange.respond_problem(404, "no such session")
             return
         self._to_rung(held, body)
         exchange.respond(204, self._load())
@@ -220,7 +220,7 @@
     def _end(self, exchange: Exchange, name: str) -> None:
         told = exchange.query.get("epoch", "")
         if not told.isdigit():
-            exchange.problem(400, "epoch is missing")
+            exchange.respond_problem(400, "epoch is missing")
             return
         epoch = int(told)
         until = self.loop.now() + TOMB_LEASES * 10_000_000
@@ -285,10 +285,10 @@
     def _line(self, exchange: Exchange) -> None:
         who = f"gateway={exchange.query.get('gateway', '')}&start={exchange.query.get('start', '')}"
         self._lines[exchange] = who
-        exchange.on_gone = lambda: self._lines.pop(exchange, None)
-        exchange.start(200, [("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")])
+        exchange.on_disconnect = lambda: self._lines.pop(exchange, None)
+        exchange.start_stream(200, [("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")])
         age = (self.loop.now() - self.started) / 1000 if self.cold_start else None
-        exchange.send(
+        exchange.send_chunk(
             event("hello", process=self.process, age_ms=age, drains=self.draining, clock=self.loop.now())
         )
         self.record("hello", host=self.name, who=who, drains=self.draining)
@@ -300,7 +300,7 @@
             return
         for exchange, who in list(self._lines.items()):
             if to is None or to == who:
-                exchange.send(event(kind, **fields))
+                exchange.send_chunk(event(kind, **fields))
                 if kind == "drain" and fields.get("drains"):
                     self.record("drain_told", host=self.name, who=who)
 
@@ -322,7 +322,7 @@
     def _keep_alive(self) -> None:
         if not self.hang:
             for exchange in list(self._lines):
-                exchange.send(event("tick", clock=self.loop.now()))
+                exchange.send_chunk(event("tick", clock=self.loop.now()))
 
     # Sessions
 
--- a/mintmast/loop/base.py
+++ b/mintmast/loop/base.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 
-class Close(Enum):
+class CloseReason(Enum):
     """Why a stream is over."""
 
     EOF = "eof"  # the peer finished and nothing of ours was left to send
@@ -27,15 +27,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class StreamLimits:
     """Bounds of one stream, in bytes."""
 
-    unsent: int = 1 << 20  # written by us, not yet taken by the network; past it the stream ends
-    resume: int = 1 << 16  # at or under it `drained` is called, after `write` has told of a backlog
-    chunk: int = 1 << 16  # read from the network at once
+    max_unsent: int = 1 << 20  # written by us, not yet taken by the network; past it the stream ends
+    drained_below: int = 1 << 16  # at or under it `drained` is called, after `write` has told of a backlog
+    read_size: int = 1 << 16  # read from the network at once
 
 
-DEFAULT = Limits()
+DEFAULT_LIMITS = StreamLimits()
 
 
 class Handler:
@@ -53,14 +53,14 @@
     def drained(self) -> None:
         """Go on writing: the backlog has shrunk."""
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Take note that the stream is over; called once, and nothing is called after it."""
 
 
 class Stream(Protocol):
     """A connection. `handed_over` counts the bytes that this side has given to the network."""
 
-    handed_over: int
+    bytes_sent: int
     peer: tuple[str, int]
 
     def write(self, data: bytes) -> bool:
@@ -72,7 +72,7 @@
     def resume(self) -> None:
         """Read again."""
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Tell whether bytes of the peer, or its end of stream, wait to be read."""
 
     def close(self) -> None:
@@ -127,30 +127,37 @@
         """Call `do(*args)` in the next turn."""
 
     def listen(
-        self, host: str, port: int, accept: Callable[[], Handler], backlog: int = 512, limits: Limits = ...
+        self,
+        host: str,
+        port: int,
+        accept: Callable[[], Handler],
+        backlog: int = 512,
+        limits: StreamLimits = ...,
     ) -> Listener:
         """Accept connections; `accept` makes the handler of each. Raises OSError."""
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = ...) -> Stream:
+    def connect(self, host: str, port: int, handler: Handler, limits: StreamLimits = ...) -> Stream:
         """Begin to connect; `handler` hears `opened` or `closed`, never before this returns."""
 
-    def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> Datagrams:
+    def open_datagrams(
+        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+    ) -> Datagrams:
         """Take and send datagrams at an address; `take` hears each with its sender. Raises OSError."""
 
 
 class Timer:
     """A call to come; `cancel` may be called at any time."""
 
-    __slots__ = ("args", "do", "when")
+    __slots__ = ("args", "callback", "when")
 
-    def __init__(self, when: int, do: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def __init__(self, when: int, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.when = when
-        self.do: Callable[..., Any] | None = do
+        self.callback: Callable[..., Any] | None = callback
         self.args = args
 
     def cancel(self) -> None:
         """Call it off."""
-        self.do, self.args = None, ()
+        self.callback, self.args = None, ()
 
 
 class Timers:
@@ -169,7 +176,7 @@
 
     def next(self) -> int | None:
         """Give the time of the first that is still wanted."""
-        while self._heap and self._heap[0][2].do is None:
+        while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
--- a/mintmast/loop/memory.py
+++ b/mintmast/loop/memory.py
@@ -12,34 +12,34 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mintmast.loop.base import DEFAULT, Close, Handler, Limits, Timer, Timers
+from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, Handler, StreamLimits, Timer, Timers
 
-EPOCH = 1_800_000_000  # s; the wall clock of every world at its start
-CONNECT_LOST = 3_000_000  # µs; a connection into a cut path is given up by the network after this
+EPOCH_S = 1_800_000_000  # s; the wall clock of every world at its start
+CONNECT_TIMEOUT_US = 3_000_000  # µs; a connection into a cut path is given up by the network after this
 
 
 @dataclass(slots=True)
-class Way:
+class PathConditions:
     """What befalls what goes one way between two machines; parts are of all datagrams, or of all writes.
 
     `cut`: nothing comes, TCP tries on. `swallows`: TCP connections open and stay open, and nothing comes.
     `late` in µs. `short`: a write comes by half, then the connection breaks.
     """
 
-    cut: bool = False
-    swallows: bool = False
-    late: int = 0
-    lost: float = 0.0
-    doubled: float = 0.0
-    short: float = 0.0
+    is_cut: bool = False
+    is_black_hole: bool = False
+    extra_delay: int = 0
+    loss: float = 0.0
+    duplication: float = 0.0
+    truncation: float = 0.0
 
     @property
-    def talks(self) -> bool:
+    def is_usable(self) -> bool:
         """Tell whether most of what is sent comes."""
-        return not (self.cut or self.swallows) and self.lost < 0.5 and self.short < 0.5
+        return not (self.is_cut or self.is_black_hole) and self.loss < 0.5 and self.truncation < 0.5
 
 
-PLAIN = Way()
+NO_FAULTS = PathConditions()
 
 
 class World:
@@ -50,10 +50,10 @@
         self.latency = latency
         self.time = 1_000_000
         self.nodes: dict[str, Node] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.slow: dict[tuple[str, str], int] = {}  # µs more, one way
-        self.lost = self.doubled = 0.0  # parts of all datagrams
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.cut_paths: set[tuple[str, str]] = set()
+        self.extra_delays: dict[tuple[str, str], int] = {}  # µs more, one way
+        self.loss = self.duplication = 0.0  # parts of all datagrams
+        self.path_conditions: dict[tuple[str, str], PathConditions] = {}
         self._timers = Timers()
 
     def node(self, name: str) -> Node:
@@ -70,29 +70,31 @@
         """Let the world go on to the time `until`."""
         while (due := self._timers.next()) is not None and due <= until:
             timer = self._timers.pop(due)
-            if timer is not None and timer.do is not None:
+            if timer is not None and timer.callback is not None:
                 self.time = max(self.time, due)
-                timer.do(*timer.args)
+                timer.callback(*timer.args)
         self.time = max(self.time, until)
 
-    def delay(self, source: str, target: str) -> int | None:
+    def draw_delay(self, source: str, target: str) -> int | None:
         """Draw the time of one way; None where the path is cut."""
-        way = self.way(source, target)
-        if (source, target) in self.cuts or way.cut:
+        way = self.conditions_between(source, target)
+        if (source, target) in self.cut_paths or way.is_cut:
             return None
-        return self.random.randint(*self.latency) + self.slow.get((source, target), 0) + way.late
+        return (
+            self.random.randint(*self.latency) + self.extra_delays.get((source, target), 0) + way.extra_delay
+        )
 
-    def way(self, source: str, target: str) -> Way:
+    def conditions_between(self, source: str, target: str) -> PathConditions:
         """Give what befalls what goes from one node to another."""
-        return self.ways.get((source, target), PLAIN)
+        return self.path_conditions.get((source, target), NO_FAULTS)
 
-    def break_all(self, one: str, other: str) -> None:
+    def reset_connections(self, one: str, other: str) -> None:
         """Reset all connections between two nodes."""
         for name, peer in ((one, other), (other, one)):
             node = self.nodes.get(name)
             for end in list(node._streams) if node is not None else ():
                 if end.other is not None and end.other.node.name == peer:
-                    node.do(end.over, Close.RESET)
+                    node.run_callback(end.end, CloseReason.RESET)
 
 
 class Node:
@@ -101,10 +103,10 @@
     def __init__(self, world: World, name: str, skew: float) -> None:
         self.world, self.name, self.skew = world, name, skew
         self.alive = True
-        self.frozen: list[tuple[Callable[..., Any], tuple[Any, ...]]] | None = None
+        self.frozen_calls: list[tuple[Callable[..., Any], tuple[Any, ...]]] | None = None
         self._listeners: dict[int, _Listener] = {}
-        self._ports: dict[int, _Port] = {}
-        self._streams: dict[_End, None] = {}
+        self._ports: dict[int, _DatagramSocket] = {}
+        self._streams: dict[_Endpoint, None] = {}
         self._port = 20_000
         self.longest_turn = self.turns = 0
 
@@ -114,41 +116,41 @@
 
     def wall(self) -> float:
         """Give the seconds since 1970, with this node's skew."""
-        return EPOCH + self.world.time / 1e6 + self.skew
+        return EPOCH_S + self.world.time / 1e6 + self.skew
 
     def call_at(self, when: int, do: Callable[..., Any], *args: Any) -> Timer:
         """Call `do(*args)` at `when` if the node still lives."""
         timer = Timer(when, do, args)
-        self.world.at(when, self._fire, timer)
+        self.world.at(when, self._run_timer, timer)
         return timer
 
     def call_soon(self, do: Callable[..., Any], *args: Any) -> Timer:
         """Call `do(*args)` after what is going on."""
         return self.call_at(self.world.time, do, *args)
 
-    def _fire(self, timer: Timer) -> None:
-        if timer.do is not None:
-            self.do(timer.do, *timer.args)
+    def _run_timer(self, timer: Timer) -> None:
+        if timer.callback is not None:
+            self.run_callback(timer.callback, *timer.args)
 
-    def do(self, what: Callable[..., Any], *args: Any) -> None:
+    def run_callback(self, what: Callable[..., Any], *args: Any) -> None:
         """Run a callback of this node: now, after a stand-still, or never if it is dead."""
         if not self.alive:
             return
-        if self.frozen is not None:
-            self.frozen.append((what, args))
+        if self.frozen_calls is not None:
+            self.frozen_calls.append((what, args))
             return
         what(*args)
 
     def freeze(self) -> None:
         """Stand still: what comes waits."""
-        if self.frozen is None:
-            self.frozen = []
+        if self.frozen_calls is None:
+            self.frozen_calls = []
 
     def thaw(self) -> None:
         """Go on, with all that came meanwhile at once."""
-        waiting, self.frozen = self.frozen or [], None
+        waiting, self.frozen_calls = self.frozen_calls or [], None
         for what, args in waiting:
-            self.do(what, *args)
+            self.run_callback(what, *args)
 
     def kill(self) -> None:
         """Die without warning: peers see their connections break."""
@@ -165,7 +167,7 @@
         port: int,
         accept: Callable[[], Handler],
         backlog: int = 512,
-        limits: Limits = DEFAULT,
+        limits: StreamLimits = DEFAULT_LIMITS,
     ) -> _Listener:
         """Accept connections; the host name is the node's."""
         self._port += 1
@@ -175,41 +177,45 @@
         listener = self._listeners[port] = _Listener(self, port, accept, limits)
         return listener
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> _End:
+    def connect(
+        self, host: str, port: int, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS
+    ) -> _Endpoint:
         """Begin to connect to the node `host`."""
-        ours = _End(self, handler, limits, (host, port))
+        ours = _Endpoint(self, handler, limits, (host, port))
         self._streams[ours] = None
-        there = self.world.delay(self.name, host)
-        back = self.world.delay(host, self.name)
+        there = self.world.draw_delay(self.name, host)
+        back = self.world.draw_delay(host, self.name)
         if there is None or back is None:
-            self.call_at(self.now() + CONNECT_LOST, ours.over, Close.UNREACHABLE)
+            self.call_at(self.now() + CONNECT_TIMEOUT_US, ours.end, CloseReason.UNREACHABLE)
         else:
-            self.world.at(self.now() + there, self._knock, ours, host, port, back)
+            self.world.at(self.now() + there, self._accept_connection, ours, host, port, back)
         return ours
 
-    def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> _Port:
+    def open_datagrams(
+        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+    ) -> _DatagramSocket:
         """Take and send datagrams; the host name is the node's."""
         if port in self._ports:
             raise OSError(f"datagram port {port} of {self.name} is taken")
-        bound = self._ports[port] = _Port(self, port, take)
+        bound = self._ports[port] = _DatagramSocket(self, port, take)
         return bound
 
-    def _knock(self, ours: _End, host: str, port: int, back: int) -> None:
+    def _accept_connection(self, ours: _Endpoint, host: str, port: int, back: int) -> None:
         target = self.world.nodes.get(host)
         listener = target._listeners.get(port) if target is not None and target.alive else None
-        if target is None or listener is None or ours.done:
-            self.world.at(self.world.time + back, self.do, ours.over, Close.REFUSED)
+        if target is None or listener is None or ours.is_closed:
+            self.world.at(self.world.time + back, self.run_callback, ours.end, CloseReason.REFUSED)
             return
         self._port += 1
-        theirs = _End(target, listener.accept(), listener.limits, (self.name, self._port))
+        theirs = _Endpoint(target, listener.accept(), listener.limits, (self.name, self._port))
         target._streams[theirs] = None
         theirs.other, ours.other = ours, theirs
-        target.do(theirs.open)
-        self.world.at(self.world.time + back, self.do, ours.open)
+        target.run_callback(theirs.open)
+        self.world.at(self.world.time + back, self.run_callback, ours.open)
 
 
 class _Listener:
-    def __init__(self, node: Node, port: int, accept: Callable[[], Handler], limits: Limits) -> None:
+    def __init__(self, node: Node, port: int, accept: Callable[[], Handler], limits: StreamLimits) -> None:
         self._node, self.port, self.accept, self.limits = node, port, accept, limits
 
     def close(self) -> None:
@@ -218,7 +224,7 @@
     finish = close
 
 
-class _Port:
+class _DatagramSocket:
     """A port for datagrams."""
 
     def __init__(self, node: Node, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> None:
@@ -226,12 +232,12 @@
 
     def send(self, data: bytes, to: tuple[str, int]) -> None:
         world = self.node.world
-        way = world.way(self.node.name, to[0])
-        if way.swallows:
+        way = world.conditions_between(self.node.name, to[0])
+        if way.is_black_hole:
             return
-        lost, doubled = max(world.lost, way.lost), max(world.doubled, way.doubled)
+        lost, doubled = max(world.loss, way.loss), max(world.duplication, way.duplication)
         for _ in range(1 + (world.random.random() < doubled)):
-            delay = world.delay(self.node.name, to[0])
+            delay = world.draw_delay(self.node.name, to[0])
             if delay is not None and world.random.random() >= lost:
                 world.at(world.time + delay, self._arrive, bytes(data), to)
 
@@ -239,105 +245,110 @@
         target = self.node.world.nodes.get(to[0])
         port = target._ports.get(to[1]) if target is not None else None
         if target is not None and port is not None:
-            target.do(port._take, data, (self.node.name, self.port))
+            target.run_callback(port._take, data, (self.node.name, self.port))
 
     def close(self) -> None:
         self.node._ports.pop(self.port, None)
 
 
-class _End:
+class _Endpoint:
     """One side of a connection."""
 
-    def __init__(self, node: Node, handler: Handler, limits: Limits, peer: tuple[str, int]) -> None:
+    def __init__(self, node: Node, handler: Handler, limits: StreamLimits, peer: tuple[str, int]) -> None:
         self.node, self.handler, self.limits, self.peer = node, handler, limits, peer
-        self.other: _End | None = None
-        self.handed_over = 0
-        self.done = self.is_open = False
+        self.other: _Endpoint | None = None
+        self.bytes_sent = 0
+        self.is_closed = self.is_open = False
         self._closing = self._paused = self._backlog = False
-        self._early: list[bytes] = []
-        self._inbox: deque[bytes | Close] = deque()
+        self._queued_before_open: list[bytes] = []
+        self._inbox: deque[bytes | CloseReason] = deque()
         self._in_flight = 0  # bytes on the way to the other side or unread there
-        self._last = 0  # arrival of the last thing sent: order is kept
+        self._last_arrival = 0  # arrival of the last thing sent: order is kept
 
     def open(self) -> None:
-        if self.done:
+        if self.is_closed:
             return
         self.is_open = True
         self.handler.opened(self)
-        early, self._early = self._early, []
+        early, self._queued_before_open = self._queued_before_open, []
         for data in early:
-            self._pass(data)
+            self._transmit(data)
         if self._closing:
             self._finish()
 
     def write(self, data: bytes) -> bool:
-        if self.done or self._closing or not data:
+        if self.is_closed or self._closing or not data:
             return not self._backlog
         self._in_flight += len(data)
-        if self._in_flight > self.limits.unsent + self.limits.chunk:
-            self.node.call_soon(self.over, Close.OVERFLOW)
+        if self._in_flight > self.limits.max_unsent + self.limits.read_size:
+            self.node.call_soon(self.end, CloseReason.OVERFLOW)
             return False
         if self.is_open:
-            self._pass(data)
+            self._transmit(data)
         else:
-            self._early.append(data)
-        self._backlog = self._backlog or self._in_flight > self.limits.resume
+            self._queued_before_open.append(data)
+        self._backlog = self._backlog or self._in_flight > self.limits.drained_below
         return not self._backlog
 
-    def _pass(self, data: bytes) -> None:
-        self.handed_over += len(data)
+    def _transmit(self, data: bytes) -> None:
+        self.bytes_sent += len(data)
         self._send(bytes(data))
 
-    def _send(self, what: bytes | Close) -> None:
+    def _send(self, what: bytes | CloseReason) -> None:
         other = self.other
         if other is None:
             return
         world = self.node.world
-        way = world.way(self.node.name, other.node.name)
-        if way.swallows:
+        way = world.conditions_between(self.node.name, other.node.name)
+        if way.is_black_hole:
             return
-        delay = world.delay(self.node.name, other.node.name)
-        if way.short and isinstance(what, bytes) and delay is not None and world.random.random() < way.short:
-            self._last = max(self._last, world.time + delay)
-            world.at(self._last, other.node.do, other.arrive, what[: len(what) // 2], self)
-            world.at(self._last, other.node.do, other.over, Close.RESET)
-            self.node.call_soon(self.over, Close.RESET)
+        delay = world.draw_delay(self.node.name, other.node.name)
+        if (
+            way.truncation
+            and isinstance(what, bytes)
+            and delay is not None
+            and world.random.random() < way.truncation
+        ):
+            self._last_arrival = max(self._last_arrival, world.time + delay)
+            world.at(self._last_arrival, other.node.run_callback, other.arrive, what[: len(what) // 2], self)
+            world.at(self._last_arrival, other.node.run_callback, other.end, CloseReason.RESET)
+            self.node.call_soon(self.end, CloseReason.RESET)
             return
         if delay is None:  # cut: TCP tries on, nothing arrives until the path is back
             world.at(world.time + 50_000, self._send, what)
             return
-        self._last = max(self._last, world.time + delay)
-        world.at(self._last, other.node.do, other.arrive, what, self)
+        self._last_arrival = max(self._last_arrival, world.time + delay)
+        world.at(self._last_arrival, other.node.run_callback, other.arrive, what, self)
 
-    def arrive(self, what: bytes | Close, sender: _End) -> None:
-        if self.done:
+    def arrive(self, what: bytes | CloseReason, sender: _Endpoint) -> None:
+        if self.is_closed:
             return
-        if what is Close.RESET:
-            self.over(Close.RESET)
+        if what is CloseReason.RESET:
+            self.end(CloseReason.RESET)
             return
         self._inbox.append(what)
         self._read()
 
     def _read(self) -> None:
-        while self._inbox and not self._paused and not self.done and self.is_open:
+        while self._inbox and not self._paused and not self.is_closed and self.is_open:
             what = self._inbox.popleft()
-            if isinstance(what, Close):
+            if isinstance(what, CloseReason):
                 self.handler.finished()
                 if not self._closing:
-                    self.over(Close.EOF)
+                    self.end(CloseReason.EOF)
                 return
             if self.other is not None:
-                self.other._taken(len(what))
+                self.other._record_read(len(what))
             self.handler.received(what)
 
-    def _taken(self, size: int) -> None:
+    def _record_read(self, size: int) -> None:
         self._in_flight -= size
-        if self._backlog and self._in_flight <= self.limits.resume and not self.done:
+        if self._backlog and self._in_flight <= self.limits.drained_below and not self.is_closed:
             self._backlog = False
             self.node.call_soon(self._drained)
 
     def _drained(self) -> None:
-        if not self.done:
+        if not self.is_closed:
             self.handler.drained()
 
     def pause(self) -> None:
@@ -348,33 +359,33 @@
         self.node.call_soon(self._read)
 
     def close(self) -> None:
-        if self._closing or self.done:
+        if self._closing or self.is_closed:
             return
         self._closing = True
         if self.is_open:
             self._finish()
 
     def _finish(self) -> None:
-        self._send(Close.EOF)
-        self.node.call_soon(self.over, Close.LOCAL)
+        self._send(CloseReason.EOF)
+        self.node.call_soon(self.end, CloseReason.LOCAL)
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         return bool(self._inbox)
 
     finish = close
 
     def abort(self) -> None:
-        self.over(Close.LOCAL)
+        self.end(CloseReason.LOCAL)
 
-    def over(self, reason: Close) -> None:
-        if self.done:
+    def end(self, reason: CloseReason) -> None:
+        if self.is_closed:
             return
-        if reason in (Close.LOCAL, Close.OVERFLOW) and not self._closing:
-            self._send(Close.RESET)
-        self.done = True
+        if reason in (CloseReason.LOCAL, CloseReason.OVERFLOW) and not self._closing:
+            self._send(CloseReason.RESET)
+        self.is_closed = True
         self.node._streams.pop(self, None)
         self.handler.closed(reason)
 
     def break_off(self) -> None:
-        self.done = True
-        self._send(Close.RESET)
+        self.is_closed = True
+        self._send(CloseReason.RESET)
--- a/mintmast/loop/real.py
+++ b/mintmast/loop/real.py
@@ -13,20 +13,20 @@
 from collections.abc import Callable
 from typing import Any
 
-from mintmast.loop.base import DEFAULT, Handler, Limits, Timer, Timers
-from mintmast.loop.sockets import SocketListener, SocketPort, SocketStream, reason_of
+from mintmast.loop.base import DEFAULT_LIMITS, Handler, StreamLimits, Timer, Timers
+from mintmast.loop.sockets import SocketListener, DatagramSocket, SocketStream, connect_failure_reason
 
 _IN_PROGRESS = {errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EAGAIN}
 # allocations between looks for garbage in rings: the youngest generation, then how many of each before the
 # next. The loop's objects are freed by their counts; a full look over a gateway's heap stops the loop for 50
 # to 100 ms
-GARBAGE = (20_000, 20, 1000)
+GC_THRESHOLDS = (20_000, 20, 1000)
 
 # µs that a turn may take, or a wait longer than it was to; beyond, this process stood still
-STILL = 250_000
+STALL_THRESHOLD_US = 250_000
 
 
-def settle_memory() -> None:
+def tune_garbage_collector() -> None:
     """Take what the program is made of out of the garbage collector's sight, and let it look seldom.
 
     Danger: full collections stop the loop for all. May hurt where a library makes rings in quantity: memory
@@ -34,7 +34,7 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*GARBAGE)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 class SelectorLoop:
@@ -53,7 +53,7 @@
         self.turns = 0
         self.on_turn: Callable[[int], None] | None = None
         # hears how long a turn took, or by how much a wait was too long, where that is over `STILL` (µs)
-        self.on_still: Callable[[int], None] | None = None
+        self.on_stall: Callable[[int], None] | None = None
         self._wakeup: tuple[int, int] | None = None
         self.wall_shift = 0.0  # s; for tests of a machine whose clock is wrong
 
@@ -79,12 +79,14 @@
         port: int,
         accept: Callable[[], Handler],
         backlog: int = 512,
-        limits: Limits = DEFAULT,
+        limits: StreamLimits = DEFAULT_LIMITS,
     ) -> SocketListener:
         """Accept connections on an address. Raises OSError."""
         return SocketListener(self, host, port, accept, backlog, limits)
 
-    def connect(self, host: str, port: int, handler: Handler, limits: Limits = DEFAULT) -> SocketStream:
+    def connect(
+        self, host: str, port: int, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS
+    ) -> SocketStream:
         """Begin to connect."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = None
@@ -96,12 +98,14 @@
             code = error.errno or errno.EHOSTUNREACH
         stream = SocketStream(self, sock, handler, limits, (host, port), connecting=True)
         if code and code not in _IN_PROGRESS:
-            self.call_soon(stream.end, reason_of(code))
+            self.call_soon(stream.end, connect_failure_reason(code))
         else:
             stream.watch()
         return stream
 
-    def adopt(self, sock: socket.socket, handler: Handler, limits: Limits = DEFAULT) -> SocketStream:
+    def adopt(
+        self, sock: socket.socket, handler: Handler, limits: StreamLimits = DEFAULT_LIMITS
+    ) -> SocketStream:
         """Take over a connected socket, as one of a pair; `handler` hears `opened` in the next turn."""
         sock.setblocking(False)
         stream = SocketStream(self, sock, handler, limits, ("", 0), connecting=False)
@@ -109,9 +113,11 @@
         self.call_soon(handler.opened, stream)
         return stream
 
-    def datagrams(self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]) -> SocketPort:
+    def open_datagrams(
+        self, host: str, port: int, take: Callable[[bytes, tuple[str, int]], Any]
+    ) -> DatagramSocket:
         """Take and send datagrams at an address. Raises OSError."""
-        return SocketPort(self, host, port, take)
+        return DatagramSocket(self, host, port, take)
 
     def stop(self) -> None:
         """End `run` after this turn."""
@@ -143,19 +149,19 @@
         begin = self.now()
         late = begin - max(due, before) if due is not None else 0
         for key, mask in ready:
-            self.guard(key.data, mask)
+            self.call_safely(key.data, mask)
         while (timer := self._timers.pop(begin)) is not None:
-            if timer.do is not None:
-                self.guard(timer.do, *timer.args)
+            if timer.callback is not None:
+                self.call_safely(timer.callback, *timer.args)
         took = self.now() - begin
         self.turns += 1
         self.longest_turn = max(self.longest_turn, took)
         if self.on_turn is not None:
             self.on_turn(took)
-        if self.on_still is not None and max(late, took) > STILL:
-            self.on_still(max(late, took))
+        if self.on_stall is not None and max(late, took) > STALL_THRESHOLD_US:
+            self.on_stall(max(late, took))
 
-    def guard(self, do: Callable[..., Any], *args: Any) -> None:
+    def call_safely(self, do: Callable[..., Any], *args: Any) -> None:
         """Call, and turn an exception into a line."""
         try:
             do(*args)
--- a/mintmast/peers/__init__.py
+++ b/mintmast/peers/__init__.py
@@ -1,6 +1,6 @@
 """What gateways of a region say to each other."""
 
-from mintmast.peers.lines import PeerLines
-from mintmast.peers.roster import Roster, address_of
+from mintmast.peers.transport import PeerTransport
+from mintmast.peers.membership_transport import MembershipTransport, parse_address
 
-__all__ = ["PeerLines", "Roster", "address_of"]
+__all__ = ["PeerTransport", "MembershipTransport", "parse_address"]
--- a/mintmast/player/dash.py
+++ b/mintmast/player/dash.py
@@ -13,7 +13,7 @@
 
 from lxml import etree
 
-from mintmast.http.client import Call, Fault, HttpClient, Reply
+from mintmast.http.client import Call, CallFailure, HttpClient, Reply
 from mintmast.http.server import Headers
 from mintmast.loop import Loop
 
@@ -106,9 +106,9 @@
         if leave is not None:
             loop.call_at(self._began + leave, self.call.cancel)
 
-    def _answered(self, reply: Reply | Fault) -> None:
+    def _answered(self, reply: Reply | CallFailure) -> None:
         self.report.answer_s = (self.loop.now() - self._began) / 1e6
-        if isinstance(reply, Fault):
+        if isinstance(reply, CallFailure):
             self._finish(reply.value)
             return
         self.report.status = reply.status
@@ -174,10 +174,10 @@
     def _shown(self, path: str) -> str:
         return f"{path}?token={self._token}" if self._token else path
 
-    def _got(self, what: str, rung: str, reply: Reply | Fault) -> None:
-        if isinstance(reply, Fault) or reply.status != 200:
+    def _got(self, what: str, rung: str, reply: Reply | CallFailure) -> None:
+        if isinstance(reply, CallFailure) or reply.status != 200:
             self._failed(
-                what, reply.value if isinstance(reply, Fault) else f"segment answered {reply.status}"
+                what, reply.value if isinstance(reply, CallFailure) else f"segment answered {reply.status}"
             )
             return
         self._trouble = 0
@@ -247,7 +247,7 @@
         until = self.loop.now() + POLL_TIME
         self.client.call(address, "GET", target, self._steered, deadline=until)
 
-    def _steered(self, reply: Reply | Fault) -> None:
+    def _steered(self, reply: Reply | CallFailure) -> None:
         self._polling = False
         if self._ended:
             return
--- a/mintmast/process.py
+++ b/mintmast/process.py
@@ -8,9 +8,9 @@
 from mintmast.config import ConfigError, load
 from mintmast.fronts.tokens import TokenError
 from mintmast.gateway import Gateway
-from mintmast.loop.real import SelectorLoop, settle_memory
+from mintmast.loop.real import SelectorLoop, tune_garbage_collector
 from mintmast.store import StoreError, StoreLine, open_store
-from mintmast.telemetry.lines import line_writer, open_log
+from mintmast.telemetry.lines import make_log_function, open_log
 
 
 def serve(path: str, table: dict | None = None) -> int:
@@ -35,7 +35,7 @@
     except StoreError as error:
         print(f"mintmast: store: {error}", file=sys.stderr)
         return 2
-    say = line_writer(sink, loop.wall, gateway=config["gateway"])
+    say = make_log_function(sink, loop.wall, gateway=config["gateway"])
     loop._on_error = lambda text: say("error", text=text)
     try:
         gateway = Gateway(loop, config, None, say, table, store)
@@ -44,7 +44,7 @@
         return 2
     loop.on_turn = lambda took: gateway.metrics.turn_time.observe(took / 1e6)
     loop.on_signal(loop.stop, signal.SIGTERM, signal.SIGINT)
-    settle_memory()
+    tune_garbage_collector()
     loop.run()
     gateway.close()
     say("stopped", longest_turn_ms=loop.longest_turn / 1000, turns=loop.turns)
--- a/mintmast/signalling/configuration.py
+++ b/mintmast/signalling/configuration.py
@@ -13,7 +13,7 @@
 class ConfigError(Exception):
     """The configuration cannot be used; one line. `again`: nothing is wrong with it, it could not be read."""
 
-    again = False
+    is_retryable = False
 
 
 class _Limits(msgspec.Struct):
@@ -47,7 +47,7 @@
     idle_close: int = 30_000_000
 
 
-class Names(msgspec.Struct):
+class AdapterSettings(msgspec.Struct):
     """What the module does not need of the settings: names and transport."""
 
     services: list[_Named]
@@ -57,7 +57,7 @@
     caps: _Caps = _Caps()
 
 
-class Entry(msgspec.Struct):
+class HostEntry(msgspec.Struct):
     """One host of the list."""
 
     id: str
@@ -70,11 +70,11 @@
     started_ms: int = 0
 
 
-class Fleet(msgspec.Struct):
+class FleetUpdate(msgspec.Struct):
     """The list, or what has changed of it."""
 
     version: int
-    servers: list[Entry]
+    servers: list[HostEntry]
     full: bool = False
 
 
@@ -84,18 +84,18 @@
         with open(path, "rb") as file:
             config = msgspec.json.decode(file.read(), type=Config)
         int(config.seed, 16)
-        address_of(config.listen)
-        address_of(config.changelog)
+        parse_address(config.listen)
+        parse_address(config.changelog)
     except OSError as error:
         fault = ConfigError(f"{path}: {error.strerror}")
-        fault.again = error.errno in (errno.EMFILE, errno.ENFILE)
+        fault.is_retryable = error.errno in (errno.EMFILE, errno.ENFILE)
         raise fault from None
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from None
     return config
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Give host and port of `10.0.0.4:5060`. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
--- a/mintmast/signalling/messages.py
+++ b/mintmast/signalling/messages.py
@@ -11,24 +11,24 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-_HEAD = struct.Struct(">HB8s")
+_HEADER = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
 # bytes of type and session, and of the longest message that the protocol allows
-_LEAST, MOST = 9, 16_384
+_MIN_LENGTH, MAX_MESSAGE_BYTES = 9, 16_384
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """Types of messages."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12  # before the answer a refusal, a failure or a set-up given up
-    HEARD = 16
+    RELEASE_COMPLETE = 16
     NOTE = 44
     MOVE = 51
-    TEST = 52
-    TESTED = 53
+    HEALTH_CHECK = 52
+    HEALTH_CHECK_REPLY = 53
     RUNG = 60
 
 
@@ -36,17 +36,17 @@
     """Codes of parameters."""
 
     CLASS = 16
-    PATIENCE = 18  # ms that the sender waits for the answer
+    TIMEOUT = 18  # ms that the sender waits for the answer
     TENANT = 20
     RETRY = 22
     TITLE = 24
-    FIGURES = 26
-    STAY_AWAY = 28  # ms
-    NOTE = 30
+    PLACEMENT = 26
+    RETRY_AFTER = 28  # ms
+    NOTE_NAME = 30
     LOAD = 34
-    HINT = 36  # ms
+    LENGTH_HINT = 36  # ms
     RUNG = 38
-    FIGURE = 40
+    NOTE_VALUE = 40
     CAUSE = 44
     DESCRIPTION = 46
 
@@ -68,7 +68,7 @@
     PROTOCOL_ERROR = 111
 
 
-_KINDS = frozenset(Kind)
+_KINDS = frozenset(MessageKind)
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,7 +76,7 @@
     """One message; with `fault` its parameters could not be read."""
 
     kind: int
-    call: bytes
+    call_id: bytes
     params: dict[int, bytes]
     fault: Cause | None = None
 
@@ -96,45 +96,45 @@
         return text if value is not None and text.isprintable() else None
 
 
-def encode(kind: Kind, call: bytes, params: Iterable[tuple[Param, bytes]] = ()) -> bytes:
+def encode(kind: MessageKind, call_id: bytes, params: Iterable[tuple[Param, bytes]] = ()) -> bytes:
     """Give the bytes of a message. Raises ValueError where it would be too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in params)
-    if len(body) + _LEAST > MOST:
-        raise ValueError(f"a message of {len(body) + _LEAST} bytes")
-    return _HEAD.pack(len(body) + _LEAST, kind, call) + body
+    if len(body) + _MIN_LENGTH > MAX_MESSAGE_BYTES:
+        raise ValueError(f"a message of {len(body) + _MIN_LENGTH} bytes")
+    return _HEADER.pack(len(body) + _MIN_LENGTH, kind, call_id) + body
 
 
-def release(call: bytes, cause: Cause | int, stay_away: int = 0) -> bytes:
+def encode_release(call_id: bytes, cause: Cause | int, retry_after_ms: int = 0) -> bytes:
     """Give a release; `stay_away` in ms, 0 for none."""
     params = [(Param.CAUSE, bytes((cause,)))]
-    if stay_away > 0:
-        params.append((Param.STAY_AWAY, b"%d" % stay_away))
-    return encode(Kind.RELEASE, call, params)
+    if retry_after_ms > 0:
+        params.append((Param.RETRY_AFTER, b"%d" % retry_after_ms))
+    return encode(MessageKind.RELEASE, call_id, params)
 
 
-def test(call: bytes) -> bytes:
+def encode_health_check(call_id: bytes) -> bytes:
     """Give a test of the connection."""
-    return encode(Kind.TEST, call, [(Param.CAUSE, b"\0")])
+    return encode(MessageKind.HEALTH_CHECK, call_id, [(Param.CAUSE, b"\0")])
 
 
-def tested(call: bytes, passed: bool) -> bytes:
+def encode_health_check_reply(call_id: bytes, passed: bool) -> bytes:
     """Give the answer to a test."""
-    return encode(Kind.TESTED, call, [(Param.CAUSE, b"\1" if passed else b"\0")])
+    return encode(MessageKind.HEALTH_CHECK_REPLY, call_id, [(Param.CAUSE, b"\1" if passed else b"\0")])
 
 
-class Reader:
+class MessageReader:
     """Messages from the bytes of one connection; `broken` once nothing behind can be read any more."""
 
-    __slots__ = ("_rest", "broken")
+    __slots__ = ("_buffer", "is_broken")
 
     def __init__(self) -> None:
-        self._rest = b""
-        self.broken = False
+        self._buffer = b""
+        self.is_broken = False
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Tell whether the beginning of a message waits for its end."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message]:
         """Take bytes and give the messages that are whole now.
@@ -142,34 +142,36 @@
         The length told is trusted for no more than one message of the longest kind: what is held never
         exceeds that. A length or type that no message has is seen at its first bytes.
         """
-        if self.broken:
+        if self.is_broken:
             return []
-        data = self._rest + data if self._rest else data
-        at, end, messages = 0, len(data), []
-        while end - at >= 2:
-            size = data[at] << 8 | data[at + 1]
-            if not _LEAST <= size <= MOST or (end - at > 2 and data[at + 2] not in _KINDS):
-                self.broken = True
+        data = self._buffer + data if self._buffer else data
+        offset, end, messages = 0, len(data), []
+        while end - offset >= 2:
+            size = data[offset] << 8 | data[offset + 1]
+            if not _MIN_LENGTH <= size <= MAX_MESSAGE_BYTES or (
+                end - offset > 2 and data[offset + 2] not in _KINDS
+            ):
+                self.is_broken = True
                 break
-            if end - at < size + 2:
+            if end - offset < size + 2:
                 break
-            messages.append(_message(data, at, at + 2 + size))
-            at += 2 + size
-        self._rest = b"" if self.broken else data[at:]
+            messages.append(_parse_message(data, offset, offset + 2 + size))
+            offset += 2 + size
+        self._buffer = b"" if self.is_broken else data[offset:]
         return messages
 
 
-def _message(data: bytes, at: int, end: int) -> Message:
-    _, kind, call = _HEAD.unpack_from(data, at)
-    at += _HEAD.size
+def _parse_message(data: bytes, offset: int, end: int) -> Message:
+    _, kind, call_id = _HEADER.unpack_from(data, offset)
+    offset += _HEADER.size
     params: dict[int, bytes] = {}
-    while at < end:
-        if end - at < _PARAMETER.size:
-            return Message(kind, call, {}, Cause.INVALID_MESSAGE)
-        code, size = _PARAMETER.unpack_from(data, at)
-        at += _PARAMETER.size
-        if size > end - at or code in params:
-            return Message(kind, call, {}, Cause.INVALID_MESSAGE)
-        params[code] = data[at : at + size]
-        at += size
-    return Message(kind, call, params)
+    while offset < end:
+        if end - offset < _PARAMETER.size:
+            return Message(kind, call_id, {}, Cause.INVALID_MESSAGE)
+        code, size = _PARAMETER.unpack_from(data, offset)
+        offset += _PARAMETER.size
+        if size > end - offset or code in params:
+            return Message(kind, call_id, {}, Cause.INVALID_MESSAGE)
+        params[code] = data[offset : offset + size]
+        offset += size
+    return Message(kind, call_id, params)
--- a/mintmast/signalling/node.py
+++ b/mintmast/signalling/node.py
@@ -16,375 +16,403 @@
 from mintmast import wire
 from mintmast.decide import Controller
 from mintmast.decisions.calls import calls as cmd
-from mintmast.decisions.calls.calls import Calls, Stage
+from mintmast.decisions.calls.calls import Calls, CallState
 from mintmast.decisions.outcomes import Evidence
 from mintmast.loop import Loop
-from mintmast.loop.real import SelectorLoop, settle_memory
-from mintmast.signalling.asking import MS, Asked, Terms, number_of
+from mintmast.loop.real import SelectorLoop, tune_garbage_collector
+from mintmast.signalling.set_up_parser import US_PER_MS, ParsedSetUp, RequestSchema, parse_number
 from mintmast.signalling.changelog import ChangeLog
 from mintmast.signalling.configuration import (
     Config,
     ConfigError,
-    Entry,
-    Fleet,
-    Names,
-    address_of,
+    HostEntry,
+    FleetUpdate,
+    AdapterSettings,
+    parse_address,
     read_config,
 )
 from mintmast.signalling.hosts import HostLimits, MediaHosts
-from mintmast.signalling.messages import Cause, Kind, Param, encode, release
-from mintmast.signalling.viewers import LIMITS, Viewers
-from mintmast.telemetry.lines import MOST_LINES, Say, line_writer
+from mintmast.signalling.messages import Cause, MessageKind, Param, encode, encode_release
+from mintmast.signalling.viewers import STREAM_LIMITS, Viewers
+from mintmast.telemetry.lines import MAX_LINES_PER_SECOND, LogFunction, make_log_function
 
-_NOTES = {
+_NOTE_KINDS = {
     "got": api.NoteKind.DELIVERED,
     "level": api.NoteKind.RUNG,
     "port": api.NoteKind.LINK,
     "spine": api.NoteKind.UPLINK,
 }
-_STATES = {
+_SERVER_STATES = {
     "Ready": api.ServerState.READY,
     "Terminating": api.ServerState.DRAINING,
     "Gone": api.ServerState.GONE,
 }
-_ENDS = {
+_OUTCOME_BY_CAUSE = {
     Cause.NORMAL_CLEARING: api.Outcome.SERVED,
     Cause.NORMAL_UNSPECIFIED: api.Outcome.CANCELLED,
 }
 # µs after SIGTERM in which set-ups may still come: 0.4 s on new connections, 0.2 s more on open ones; and
 # between looks whether the last is answered
-STILL_COME, STOP_LOOK = 900_000, 50_000
+SHUTDOWN_GRACE_US, SHUTDOWN_POLL_US = 900_000, 50_000
 # µs from then in which what is unread or not taken yet is waited for, and in which peers may close: those who
 # flood or take nothing do not hold up the end
-STOP_WAIT, CLOSE_WAIT = 2_000_000, 500_000
+FLUSH_TIMEOUT_US, PEER_CLOSE_TIMEOUT_US = 2_000_000, 500_000
 # µs before a configuration is read again that could not be for want of a descriptor
-READ_AGAIN = 100_000
+RELOAD_RETRY_US = 100_000
 # part of the descriptors for viewers: their own third, and as much for peers that only hold them; and how
 # many are for the listener, the selector, the change log and what the interpreter needs
-VIEWERS_PART, OWN_SOCKETS = 0.5, 24
+VIEWER_SOCKET_SHARE, RESERVED_SOCKETS = 0.5, 24
 # part of the memory for set-ups under way: the program itself takes 11 MB, the least limit is 32
-SET_UPS_PART = 0.25
+SET_UP_MEMORY_SHARE = 0.25
 # µs after the first passed test in which sessions may be told that play already: a start's come at once
-FOUND_WITHIN = 10_000_000
+HANDOVER_WINDOW_US = 10_000_000
 # ends kept that were heard in that time of sessions not told yet
-MOST_EARLY = 4096
+MAX_EARLY_ENDS = 4096
 
 
 class Node:
     """One gateway on a loop."""
 
-    def __init__(self, loop: Loop, config: Config, say: Say) -> None:
-        self.loop, self.say = loop, say
+    def __init__(self, loop: Loop, config: Config, log: LogFunction) -> None:
+        self.loop, self.log = loop, log
         settings = wire.parse_settings(bytes(config.settings))
-        names = self._names = msgspec.json.decode(config.settings, type=Names)
+        adapter_settings = self._adapter_settings = msgspec.json.decode(config.settings, type=AdapterSettings)
         self.settings = settings
         self.calls = Calls(Controller(settings, int(config.seed, 16)))
         # what the platform tells as Unix time is put on the loop's clock by one difference for all
-        self._unix = int(loop.wall() * 1_000_000) - loop.now()
-        self._entries: dict[bytes, api.ListEntry] = {}
-        self._found_until: int | None = None  # None until a test has passed
-        self._ended_early: dict[bytes, Cause] = {}  # sessions that may be told yet, and how they ended
-        self.stopping = False
+        self._unix_offset = int(loop.wall() * 1_000_000) - loop.now()
+        self._listed_hosts: dict[bytes, api.ListEntry] = {}
+        self._handover_until: int | None = None  # None until a test has passed
+        self._early_ends: dict[bytes, Cause] = {}  # sessions that may be told yet, and how they ended
+        self.is_stopping = False
         self.on_stopped: Callable[[], None] = lambda: None
-        viewers = int(config.limits.sockets * VIEWERS_PART)
-        hosts = max(1, config.limits.sockets - viewers - OWN_SOCKETS)
-        caps = names.caps
-        room = int(config.limits.memory_mb * (1 << 20) * SET_UPS_PART)
+        viewers = int(config.limits.sockets * VIEWER_SOCKET_SHARE)
+        hosts = max(1, config.limits.sockets - viewers - RESERVED_SOCKETS)
+        caps = adapter_settings.caps
+        max_bytes = int(config.limits.memory_mb * (1 << 20) * SET_UP_MEMORY_SHARE)
         self.hosts = MediaHosts(loop, self, HostLimits(caps.connect_timeout, caps.idle_close, hosts))
-        terms = Terms(
-            {each.name.encode(): place for place, each in enumerate(names.services)},
+        schema = RequestSchema(
+            {each.name.encode(): place for place, each in enumerate(adapter_settings.services)},
             tuple(each.deadline for each in settings.classes),
-            {each.name.encode(): place for place, each in enumerate(names.accounts)},
+            {each.name.encode(): place for place, each in enumerate(adapter_settings.accounts)},
         )
-        self.viewers = Viewers(loop, self, terms, viewers, room, say)
-        self._carry(self.calls.start(loop.now()))
-        self.changelog = ChangeLog(loop, address_of(config.changelog), 0, self._news, say)
-        self._known(config)
-        self._listener = loop.listen(*address_of(config.listen), self.viewers.accept, limits=LIMITS)
+        self.viewers = Viewers(loop, self, schema, viewers, max_bytes, log)
+        self._execute(self.calls.start(loop.now()))
+        self.changelog = ChangeLog(loop, parse_address(config.changelog), 0, self._handle_list_event, log)
+        self._apply_known(config)
+        self._listener = loop.listen(*parse_address(config.listen), self.viewers.accept, limits=STREAM_LIMITS)
 
     # Configuration and signals
 
-    def _known(self, config: Config) -> None:
+    def _apply_known(self, config: Config) -> None:
         for event in config.known.results:
-            self.changelog.event(event)
+            self.changelog.handle_event(event)
         self.changelog.seq = max(self.changelog.seq, config.known.seq)
 
     def reload(self, config: Config) -> None:
         """Take a new configuration: the change log's address and what is known; the rest stays."""
-        self._known(config)
-        self.changelog.move(address_of(config.changelog))
-        self.say("reloaded", changelog=config.changelog, seq=self.changelog.seq)
+        self._apply_known(config)
+        self.changelog.change_address(parse_address(config.changelog))
+        self.log("reloaded", changelog=config.changelog, seq=self.changelog.seq)
 
     def stop(self) -> None:
         """Take no part in new traffic, answer what still comes, then call `on_stopped`."""
-        if not self.stopping:
-            self.stopping = True
-            self.say("stopping", **self.calls.counts())
-            self.loop.call_at(self.loop.now() + STILL_COME, self._stop_taking)
+        if not self.is_stopping:
+            self.is_stopping = True
+            self.log("stopping", **self.calls.count_by_state())
+            self.loop.call_at(self.loop.now() + SHUTDOWN_GRACE_US, self._stop_listening)
 
-    def _stop_taking(self) -> None:
+    def _stop_listening(self) -> None:
         self._listener.finish()
-        self._stopped(self.loop.now() + STOP_WAIT)
+        self._wait_until_idle(self.loop.now() + FLUSH_TIMEOUT_US)
 
-    def _stopped(self, wait_until: int) -> None:
+    def _wait_until_idle(self, wait_until: int) -> None:
         """End once all is answered, and what was answered is out of this process's hands.
 
         Danger: what is queued here, or lies unread at the peer when a reset comes, is lost with the process.
         """
         now, connections = self.loop.now(), self.viewers.connections.values()
-        if any(each.open for each in connections) or (now < wait_until and self.viewers.busy()):
-            self.loop.call_at(now + STOP_LOOK, self._stopped, wait_until)
+        if any(each.open_set_ups for each in connections) or (now < wait_until and self.viewers.is_busy()):
+            self.loop.call_at(now + SHUTDOWN_POLL_US, self._wait_until_idle, wait_until)
             return
-        self.viewers.finish()
-        self._closed(now + CLOSE_WAIT)
+        self.viewers.close_all()
+        self._wait_until_closed(now + PEER_CLOSE_TIMEOUT_US)
 
-    def _closed(self, wait_until: int) -> None:
+    def _wait_until_closed(self, wait_until: int) -> None:
         if self.viewers.connections and self.loop.now() < wait_until:
-            self.loop.call_at(self.loop.now() + STOP_LOOK, self._closed, wait_until)
+            self.loop.call_at(self.loop.now() + SHUTDOWN_POLL_US, self._wait_until_closed, wait_until)
         else:
             self.on_stopped()
 
     # The list
 
-    def _news(self, event: dict[str, Any]) -> None:
+    def _handle_list_event(self, event: dict[str, Any]) -> None:
         if "fleet" not in event:
             return
         try:
-            fleet = msgspec.convert(event["fleet"], Fleet)
-            entries = tuple(self._entry(each) for each in fleet.servers)
-            addresses = [address_of(each.addr) for each in fleet.servers]
+            fleet = msgspec.convert(event["fleet"], FleetUpdate)
+            entries = tuple(self._parse_entry(each) for each in fleet.servers)
+            addresses = [parse_address(each.addr) for each in fleet.servers]
         except (msgspec.ValidationError, ValueError) as error:
-            self.say("list", seq=event["seq"], unreadable=str(error))
+            self.log("list", seq=event["seq"], unreadable=str(error))
             return
         now = self.loop.now()
         kind = api.ListKind.FULL if fleet.full else api.ListKind.DELTA
-        commands = self.calls.list(now, api.ServerList(kind, fleet.version, entries))
+        commands = self.calls.handle_list(now, api.ServerList(kind, fleet.version, entries))
         listed = {entry.server for entry in entries}
         for entry, address in zip(entries, addresses, strict=True):
-            gone = entry.state is api.ServerState.GONE
-            before = self._entries.get(entry.server)
-            anew = before is not None and entry.started > before.started
-            if anew:
-                commands += self.calls.host_dead(now, entry.server, entry.started)
-            self.hosts.listed(entry.server, address, gone, anew)
-            if gone:
-                self._entries.pop(entry.server, None)
+            is_gone = entry.state is api.ServerState.GONE
+            known = self._listed_hosts.get(entry.server)
+            is_new_process = known is not None and entry.started > known.started
+            if is_new_process:
+                commands += self.calls.handle_host_death(now, entry.server, entry.started)
+            self.hosts.update_host(entry.server, address, is_gone, is_new_process)
+            if is_gone:
+                self._listed_hosts.pop(entry.server, None)
             else:
-                self._entries[entry.server] = entry
+                self._listed_hosts[entry.server] = entry
         if fleet.full:
-            for server in [each for each in self._entries if each not in listed]:
-                del self._entries[server]
-                self.hosts.listed(server, ("", 0), True)
-        self.say("list", seq=event["seq"], full=fleet.full, entries=len(entries), hosts=len(self._entries))
-        self._carry(commands)
-
-    def _entry(self, told: Entry) -> api.ListEntry:
-        if not 0 < len(told.id) <= 64 or told.state not in _STATES:
-            raise ValueError(f"host {told.id[:64]!r} in state {told.state[:64]!r}")
-        started = told.started_ms * MS - self._unix if told.started_ms else 0
+            for server in [each for each in self._listed_hosts if each not in listed]:
+                del self._listed_hosts[server]
+                self.hosts.update_host(server, ("", 0), True)
+        self.log(
+            "list", seq=event["seq"], full=fleet.full, entries=len(entries), hosts=len(self._listed_hosts)
+        )
+        self._execute(commands)
+
+    def _parse_entry(self, entry: HostEntry) -> api.ListEntry:
+        if not 0 < len(entry.id) <= 64 or entry.state not in _SERVER_STATES:
+            raise ValueError(f"host {entry.id[:64]!r} in state {entry.state[:64]!r}")
+        started = entry.started_ms * US_PER_MS - self._unix_offset if entry.started_ms else 0
         return api.ListEntry(
-            told.id.encode(),
-            _STATES[told.state],
+            entry.id.encode(),
+            _SERVER_STATES[entry.state],
             started,
-            max(0, told.cell),
-            _place(self._names.azs, told.zone),
-            _place(self._names.shapes, told.kind),
-            told.weight,
+            max(0, entry.cell),
+            _index_of(self._adapter_settings.azs, entry.zone),
+            _index_of(self._adapter_settings.shapes, entry.kind),
+            entry.weight,
         )
 
     # What viewers do
 
-    def asked(self, viewer: int, asked: Asked, since: int) -> None:
+    def handle_set_up(self, viewer: int, parsed: ParsedSetUp, received_at: int) -> None:
         """Take a set-up that came in at `since`."""
         now = self.loop.now()
-        if not asked.at:
-            self._carry(self.calls.ask(now, asked.wish, viewer, since))
-        elif asked.wish.call in self._ended_early:
-            self._told_late(viewer, asked)
-        elif asked.at in self._entries and now <= (self._found_until or now):
-            self._carry(self.calls.found(now, asked.wish, viewer, asked.at))
+        if not parsed.playing_host:
+            self._execute(self.calls.handle_request(now, parsed.request, viewer, received_at))
+        elif parsed.request.call_id in self._early_ends:
+            self._handle_late_handover(viewer, parsed)
+        elif parsed.playing_host in self._listed_hosts and now <= (self._handover_until or now):
+            self._execute(self.calls.adopt_session(now, parsed.request, viewer, parsed.playing_host))
         else:
-            self.viewers.over(viewer, asked.wish.call, release(asked.wish.call, Cause.TEMPORARY_FAILURE))
+            self.viewers.end_session(
+                viewer,
+                parsed.request.call_id,
+                encode_release(parsed.request.call_id, Cause.TEMPORARY_FAILURE),
+            )
 
-    def _told_late(self, viewer: int, asked: Asked) -> None:
+    def _handle_late_handover(self, viewer: int, parsed: ParsedSetUp) -> None:
         """Take a session that was over before it was told: by its host's word, or by its viewer's."""
-        call = asked.wish.call
-        cause = self._ended_early[call]
+        call_id = parsed.request.call_id
+        cause = self._early_ends[call_id]
         if cause is Cause.NORMAL_UNSPECIFIED:
-            self.viewers.forget(viewer, call)
-            self.hosts.cut(asked.at, call)
+            self.viewers.forget_session(viewer, call_id)
+            self.hosts.release_session(parsed.playing_host, call_id)
         else:
-            self.viewers.over(viewer, call, release(call, cause))
+            self.viewers.end_session(viewer, call_id, encode_release(call_id, cause))
 
-    def _keep_early(self, call: bytes, cause: Cause) -> None:
+    def _record_early_end(self, call_id: bytes, cause: Cause) -> None:
         """Keep the end of a session that may be told yet; NORMAL_UNSPECIFIED where its viewer ended it.
 
         Danger: hosts tell ends on any connection, so one of a session whose set-up is still unread may come
         before it, and the session would be taken for one that stands, for ever. One told twice is over too.
         """
         now = self.loop.now()
-        if now <= (self._found_until or now) and len(self._ended_early) < MOST_EARLY:
-            if not self._ended_early:
-                self.loop.call_at(now + FOUND_WITHIN, self._ended_early.clear)
-            self._ended_early[call] = cause
+        if now <= (self._handover_until or now) and len(self._early_ends) < MAX_EARLY_ENDS:
+            if not self._early_ends:
+                self.loop.call_at(now + HANDOVER_WINDOW_US, self._early_ends.clear)
+            self._early_ends[call_id] = cause
 
-    def left(self, call: bytes) -> None:
+    def handle_viewer_left(self, call_id: bytes) -> None:
         """Take it that nobody waits for the call any more."""
-        known = self.calls.by_id.get(call)
-        if known is None or known.stage is Stage.STANDING:
-            self._keep_early(call, Cause.NORMAL_UNSPECIFIED)
+        known = self.calls.by_id.get(call_id)
+        if known is None or known.state is CallState.ESTABLISHED:
+            self._record_early_end(call_id, Cause.NORMAL_UNSPECIFIED)
         if known is None:
             return
         now = self.loop.now()
-        self._carry(self.calls.left(now, call))
-        self.viewers.forget(known.viewer, call)
-        if self.hosts.withdraw(known.host, call):
-            self._carry(self.calls.ended(now, call, known.host, Evidence.WITHDRAWN))
+        self._execute(self.calls.handle_viewer_left(now, call_id))
+        self.viewers.forget_session(known.viewer, call_id)
+        if self.hosts.withdraw_unsent(known.host, call_id):
+            self._execute(self.calls.handle_attempt_end(now, call_id, known.host, Evidence.WITHDRAWN))
 
-    def stands(self, call: bytes) -> bool | None:
+    def is_established(self, call_id: bytes) -> bool | None:
         """Tell whether a call stands; None where it is not known."""
-        known = self.calls.by_id.get(call)
-        return known.stage is Stage.STANDING if known is not None else None
+        known = self.calls.by_id.get(call_id)
+        return known.state is CallState.ESTABLISHED if known is not None else None
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether set-ups are welcome."""
-        ready = not self.stopping and bool(self._entries)
-        if ready and self._found_until is None:
-            self._found_until = self.loop.now() + FOUND_WITHIN
+        ready = not self.is_stopping and bool(self._listed_hosts)
+        if ready and self._handover_until is None:
+            self._handover_until = self.loop.now() + HANDOVER_WINDOW_US
         return ready
 
     # What hosts say
 
-    def started(self, host: bytes, call: bytes, description: bytes) -> None:
+    def handle_answer(self, host: bytes, call_id: bytes, description: bytes) -> None:
         """Take an answer."""
-        self._carry(self.calls.started(self.loop.now(), call, host, description))
+        self._execute(self.calls.handle_answer(self.loop.now(), call_id, host, description))
 
-    def ended(self, host: bytes, call: bytes, evidence: Evidence, load: str) -> None:
+    def handle_attempt_end(self, host: bytes, call_id: bytes, evidence: Evidence, load: str) -> None:
         """Take the end of an attempt without an answer."""
-        self.say("attempt", call=call.hex(), host=host.decode(), evidence=evidence.value)
-        self._carry(self.calls.ended(self.loop.now(), call, host, evidence, self._load(load)))
+        self.log("attempt", call=call_id.hex(), host=host.decode(), evidence=evidence.value)
+        self._execute(
+            self.calls.handle_attempt_end(self.loop.now(), call_id, host, evidence, self._parse_load(load))
+        )
 
-    def over(self, host: bytes, call: bytes, cause: int, load: str) -> None:
+    def handle_release(self, host: bytes, call_id: bytes, cause: int, load: str) -> None:
         """Take a release."""
-        outcome = _ENDS.get(cause, api.Outcome.RESET)
-        known = self.calls.by_id.get(call)
-        if known is None or known.stage is Stage.STANDING:
-            self._keep_early(call, Cause(cause) if cause in _ENDS else Cause.TEMPORARY_FAILURE)
+        outcome = _OUTCOME_BY_CAUSE.get(cause, api.Outcome.RESET)
+        known = self.calls.by_id.get(call_id)
+        if known is None or known.state is CallState.ESTABLISHED:
+            self._record_early_end(
+                call_id, Cause(cause) if cause in _OUTCOME_BY_CAUSE else Cause.TEMPORARY_FAILURE
+            )
         if known is not None and outcome is api.Outcome.CANCELLED:
-            self.viewers.forget(known.viewer, call)
-        self._carry(self.calls.over(self.loop.now(), call, host, outcome, self._load(load)))
+            self.viewers.forget_session(known.viewer, call_id)
+        self._execute(
+            self.calls.handle_session_end(self.loop.now(), call_id, host, outcome, self._parse_load(load))
+        )
 
-    def noted(self, host: bytes, call: bytes, name: str, figure: str) -> None:
+    def handle_note(self, host: bytes, call_id: bytes, name: str, text: str) -> None:
         """Take a note."""
-        kind, value = _NOTES.get(name), number_of(figure)
+        kind, value = _NOTE_KINDS.get(name), parse_number(text)
         if kind is not None and value is not None:
-            self._carry(self.calls.noted(self.loop.now(), call, host, kind, value))
+            self._execute(self.calls.handle_note(self.loop.now(), call_id, host, kind, value))
 
-    def dead(self, host: bytes, when: int, why: str) -> None:
+    def handle_host_death(self, host: bytes, when: int, why: str) -> None:
         """Take it that the host's process was gone at `when`."""
-        commands = self.calls.host_dead(self.loop.now(), host, when)
+        commands = self.calls.handle_host_death(self.loop.now(), host, when)
         if commands:
-            self.say("dead", host=host.decode(), why=why, sessions=len(commands))
-        self._carry(commands)
+            self.log("dead", host=host.decode(), why=why, sessions=len(commands))
+        self._execute(commands)
 
-    def wanted(self, host: bytes) -> bool:
+    def has_sessions(self, host: bytes) -> bool:
         """Tell whether sessions stand at the host."""
-        return self.calls.standing_at(host)
+        return self.calls.has_session_at(host)
 
-    def _load(self, text: str) -> tuple[float, ...]:
+    def _parse_load(self, text: str) -> tuple[float, ...]:
         """Read `x0:12;x1:40` in the order of the settings; what is not told is not a number."""
         if not text:
             return ()
-        told = dict(part.partition(":")[::2] for part in text.split(";"))
-        values = (number_of(told.get(name, "")) for name in self.settings.load_fields)
+        fields = dict(part.partition(":")[::2] for part in text.split(";"))
+        values = (parse_number(fields.get(name, "")) for name in self.settings.load_fields)
         return tuple(float("nan") if value is None else value for value in values)
 
     # What follows
 
-    def _carry(self, commands: list[cmd.Command]) -> None:
+    def _execute(self, commands: list[cmd.Command]) -> None:
         for command in commands:
-            _CARRY[type(command)](self, command)
+            _COMMAND_HANDLERS[type(command)](self, command)
 
-    def _send(self, c: cmd.SendSetUp) -> None:
-        wait = max(1, (c.until - self.loop.now()) // MS)
-        service, title, description = c.passed
+    def _send_set_up(self, command: cmd.SendSetUp) -> None:
+        timeout_ms = max(1, (command.deadline - self.loop.now()) // US_PER_MS)
+        service, title, description = command.forwarded
         params = [
             (Param.CLASS, service),
-            (Param.PATIENCE, b"%d" % wait),
+            (Param.TIMEOUT, b"%d" % timeout_ms),
             (Param.TITLE, title),
-            (Param.RUNG, b"%d" % c.rung),
+            (Param.RUNG, b"%d" % command.rung),
             (Param.DESCRIPTION, description),
         ]
-        self.hosts.set_up(c.host, c.call, encode(Kind.SET_UP, c.call, params), c.until)
+        self.hosts.send_set_up(
+            command.host,
+            command.call_id,
+            encode(MessageKind.SET_UP, command.call_id, params),
+            command.deadline,
+        )
 
-    def _answer(self, c: cmd.Answer) -> None:
-        if not self.viewers.answer(c.viewer, c.call, c.description):
-            self.left(c.call)
+    def _answer_request(self, command: cmd.AnswerRequest) -> None:
+        if not self.viewers.answer(command.viewer, command.call_id, command.description):
+            self.handle_viewer_left(command.call_id)
 
-    def _refuse(self, c: cmd.Refuse) -> None:
+    def _refuse_request(self, command: cmd.RefuseRequest) -> None:
         cause = Cause.SWITCHING_EQUIPMENT_CONGESTION
-        self.viewers.end(c.viewer, c.call, cause, -(-c.retry_after // MS))
-
-    def _release(self, c: cmd.Release) -> None:
-        cause = Cause.NORMAL_CLEARING if c.whole else Cause.TEMPORARY_FAILURE
-        self.viewers.over(c.viewer, c.call, release(c.call, cause))
-
-    def _wake(self, c: cmd.Wake) -> None:
-        when = self.loop.now() + c.delay
-        self.loop.call_at(when, lambda: self._carry(self.calls.woken(self.loop.now(), c.token)))
-
-
-_CARRY: dict[type, Callable[[Node, Any], None]] = {
-    cmd.SendSetUp: Node._send,
-    cmd.CallOff: lambda node, c: node.hosts.call_off(c.host, c.call),
-    cmd.Cut: lambda node, c: node.hosts.cut(c.host, c.call),
-    cmd.TellRung: lambda node, c: node.hosts.rung(c.host, c.call, c.rung),
-    cmd.Answer: Node._answer,
-    cmd.Refuse: Node._refuse,
-    cmd.Fail: lambda node, c: node.viewers.end(c.viewer, c.call, Cause.TEMPORARY_FAILURE),
-    cmd.Release: Node._release,
-    cmd.MoveAway: lambda node, c: node.viewers.over(c.viewer, c.call, encode(Kind.MOVE, c.call)),
-    cmd.Wake: Node._wake,
-    cmd.Say: lambda node, c: node.say("module", text=c.text),
+        self.viewers.reject(command.viewer, command.call_id, cause, -(-command.retry_after // US_PER_MS))
+
+    def _release_to_viewer(self, command: cmd.ReleaseToViewer) -> None:
+        cause = Cause.NORMAL_CLEARING if command.played_to_end else Cause.TEMPORARY_FAILURE
+        self.viewers.end_session(command.viewer, command.call_id, encode_release(command.call_id, cause))
+
+    def _schedule_timer(self, command: cmd.ScheduleTimer) -> None:
+        when = self.loop.now() + command.delay
+        self.loop.call_at(
+            when, lambda: self._execute(self.calls.handle_timer(self.loop.now(), command.token))
+        )
+
+
+_COMMAND_HANDLERS: dict[type, Callable[[Node, Any], None]] = {
+    cmd.SendSetUp: Node._send_set_up,
+    cmd.CancelSetUp: lambda node, c: node.hosts.cancel_set_up(c.host, c.call_id),
+    cmd.ReleaseToHost: lambda node, c: node.hosts.release_session(c.host, c.call_id),
+    cmd.SendRung: lambda node, c: node.hosts.send_rung(c.host, c.call_id, c.rung),
+    cmd.AnswerRequest: Node._answer_request,
+    cmd.RefuseRequest: Node._refuse_request,
+    cmd.FailRequest: lambda node, c: node.viewers.reject(c.viewer, c.call_id, Cause.TEMPORARY_FAILURE),
+    cmd.ReleaseToViewer: Node._release_to_viewer,
+    cmd.MoveViewer: lambda node, c: node.viewers.end_session(
+        c.viewer, c.call_id, encode(MessageKind.MOVE, c.call_id)
+    ),
+    cmd.ScheduleTimer: Node._schedule_timer,
+    cmd.LogEvent: lambda node, c: node.log("module", text=c.text),
 }
 
 
-def _place(names: list[str], name: str) -> int:
+def _index_of(names: list[str], name: str) -> int:
     return names.index(name) if name in names else len(names)
 
 
 def run(path: str) -> int:
     """Run until SIGTERM has done its work. Gives the exit code: 2 for a bad configuration."""
-    say = line_writer(sys.stderr, time.time, MOST_LINES, gateway=os.environ.get("NODE_NAME", ""))
-    loop = SelectorLoop(lambda text: say("error", text=text))
+    log = make_log_function(
+        sys.stderr, time.time, MAX_LINES_PER_SECOND, gateway=os.environ.get("NODE_NAME", "")
+    )
+    loop = SelectorLoop(lambda text: log("error", text=text))
 
     def reload() -> None:
         try:
             node.reload(read_config(path))
         except ConfigError as error:
-            say("reload", refused=str(error))
-            if error.again:
-                loop.call_at(loop.now() + READ_AGAIN, reload)
+            log("reload", refused=str(error))
+            if error.is_retryable:
+                loop.call_at(loop.now() + RELOAD_RETRY_US, reload)
 
     # before the configuration is read: a new one, or the end, may be told meanwhile
     loop.on_signal(reload, signal.SIGHUP)
     loop.on_signal(lambda: node.stop(), signal.SIGTERM, signal.SIGINT)
     try:
         config = read_config(path)
-        most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        if most != resource.RLIM_INFINITY:
-            config.limits.sockets = min(config.limits.sockets, most)
-        node = Node(loop, config, say)
+        descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if descriptor_limit != resource.RLIM_INFINITY:
+            config.limits.sockets = min(config.limits.sockets, descriptor_limit)
+        node = Node(loop, config, log)
     except (ConfigError, wire.WireError, msgspec.MsgspecError, OSError) as error:
         print(f"mintmast: {error}", file=sys.stderr)
         return 2
 
     # what stands still cannot answer in time, and nothing else would tell afterwards that it did: neither the
     # machine's trouble nor this process's own leaves another line
-    loop.on_still = lambda took: say("stood still", ms=took / MS)
+    loop.on_stall = lambda took: log("stood still", ms=took / US_PER_MS)
     node.on_stopped = loop.stop
-    settle_memory()
-    say("serving", hosts=len(node._entries), seq=node.changelog.seq)
+    tune_garbage_collector()
+    log("serving", hosts=len(node._listed_hosts), seq=node.changelog.seq)
     loop.run()
-    say("stopped", longest_turn_ms=loop.longest_turn / MS, turns=loop.turns, **node.calls.counts())
+    log(
+        "stopped",
+        longest_turn_ms=loop.longest_turn / US_PER_MS,
+        turns=loop.turns,
+        **node.calls.count_by_state(),
+    )
     return 0
--- a/mintmast/sources/eureka.py
+++ b/mintmast/sources/eureka.py
@@ -15,8 +15,8 @@
 import msgspec
 from lxml import etree
 
-from mintmast.decisions.hosts.registry import Instance, Reader, entries
-from mintmast.http.client import ClientLimits, Fault, HttpClient, Reply
+from mintmast.decisions.hosts.registry import Instance, RegistryReader, build_list_entries
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
 from mintmast.interface import ListEntry
 from mintmast.loop import Loop
 
@@ -124,7 +124,7 @@
         say: Callable[..., None],
     ) -> None:
         self.loop, self.app = loop, app
-        self.reader = Reader(addresses, every)
+        self.reader = RegistryReader(addresses, every)
         self._random = random.Random(seed)
         self._good, self._bad, self._say = good, bad, say
         limits = ClientLimits(connect_time=max(1, every // 2), body_bytes=MOST_BYTES)
@@ -136,14 +136,14 @@
         self._poll()
 
     def _poll(self) -> None:
-        address, delta = self.reader.ask()
+        address, delta = self.reader.next_request()
         parts = urlsplit(address)
         target = f"{parts.path.rstrip('/')}/apps{'/delta' if delta else ''}"
         headers = [("Accept", "application/json, application/xml;q=0.5"), ("Accept-Encoding", "gzip")]
         if target in self._etag and delta:
             headers.append(("If-None-Match", self._etag[target]))
         # a poll that takes longer than its time is in vain: the next one is due
-        until = self.loop.now() + self.reader.every
+        until = self.loop.now() + self.reader.poll_interval
         place = parts.hostname or "", parts.port or 80
         self._client.call(
             place,
@@ -155,19 +155,19 @@
             until,
         )
 
-    def _answered(self, address: str, target: str, delta: bool, reply: Reply | Fault) -> None:
-        again = self.reader.next(self.loop.now(), self._random.random())
+    def _answered(self, address: str, target: str, delta: bool, reply: Reply | CallFailure) -> None:
+        again = self.reader.next_poll_at(self.loop.now(), self._random.random())
         try:
-            if isinstance(reply, Fault):
+            if isinstance(reply, CallFailure):
                 raise RegistryError(reply.value)
             if reply.status == 304 and delta:
-                self.reader.fails = 0
+                self.reader.failures = 0
             elif reply.status != 200:
                 raise RegistryError(f"status {reply.status}")
             else:
                 again = self._take(target, delta, reply) or again
         except RegistryError as error:
-            self.reader.failed()
+            self.reader.handle_failure()
             self._bad(f"{address}: {error}")
         self.loop.call_at(again, self._poll)
 
@@ -180,14 +180,14 @@
         for fault in faults[:5]:
             self._say("registry_instance", fault=fault)
         if delta:
-            changed = self.reader.delta(found, told)
+            changed = self.reader.apply_delta(found, told)
             if changed is None:  # the hash disagrees: all is read at once
                 return self.loop.now()
         else:
-            changed = self.reader.full(instance for _, instance in found)
+            changed = self.reader.apply_full(instance for _, instance in found)
         self._etag[target] = reply.headers.get("etag", "")
         if changed:
-            self._good(entries(self.reader.known.values(), self.app))
+            self._good(build_list_entries(self.reader.instances.values(), self.app))
         return None
 
 
@@ -248,7 +248,7 @@
         headers = [("Content-Type", "application/json")] if body else []
         until = self.loop.now() + self.every
 
-        def done(reply: Reply | Fault) -> None:
+        def done(reply: Reply | CallFailure) -> None:
             self._known = isinstance(reply, Reply) and reply.status in (200, 204)
 
         self._client.call(self._place, method, target, done, headers, body, until)
--- a/mintmast/sources/fixed.py
+++ b/mintmast/sources/fixed.py
@@ -38,7 +38,7 @@
         self.entries, self.version = entries, self.version + 1
         self.refresh()
 
-    def refuses(self, server: bytes, refuses: bool) -> None:
+    def record_refusal(self, server: bytes, refuses: bool) -> None:
         """Nothing: the settings are not in doubt."""
 
 
--- a/mintmast/sources/merged.py
+++ b/mintmast/sources/merged.py
@@ -50,7 +50,7 @@
         cached = self.saved.load() if self.saved is not None else None
         if cached:
             self.version += 1
-            self.merger.believed = {entry.server: entry for entry in cached}
+            self.merger.merged = {entry.server: entry for entry in cached}
             tell(ListKind.CACHED, self.version, cached)
         for source in self._sources:
             source.start()
@@ -58,35 +58,35 @@
     def refresh(self) -> None:
         """Tell the whole list as it is believed."""
         if self._tell is not None:
-            self._tell(ListKind.FULL, self.version, tuple(self.merger.believed.values()))
+            self._tell(ListKind.FULL, self.version, tuple(self.merger.merged.values()))
 
     def state(self) -> dict[str, Any]:
         """Tell of each source: servers in force, seconds since it was well, what is wrong, what is held."""
         now = self.loop.now()
         return {
             name: {
-                "servers": len(source.version or {}),
-                "age_s": (now - source.since) / 1e6 if source.since else None,
+                "servers": len(source.entries or {}),
+                "age_s": (now - source.last_read_at) / 1e6 if source.last_read_at else None,
                 "fault": source.fault,
-                "held_back": len(source.held) if source.held is not None else None,
+                "held_back": len(source.held_back) if source.held_back is not None else None,
             }
             for name, source in self.merger.sources.items()
         }
 
     def _good(self, name: str, entries: tuple[ListEntry, ...]) -> None:
-        self._changed(self.merger.offer(self.loop.now(), name, entries))
+        self._changed(self.merger.update_source(self.loop.now(), name, entries))
 
     def _bad(self, name: str, fault: str) -> None:
         if self.merger.sources[name].fault != fault:
             self.say("list_not_taken", source=name, reason=fault)
-        self._changed(self.merger.failed(self.loop.now(), name, fault))
+        self._changed(self.merger.mark_failed(self.loop.now(), name, fault))
 
-    def refuses(self, server: bytes, refuses: bool) -> None:
+    def record_refusal(self, server: bytes, refuses: bool) -> None:
         """Take a host's own evidence; in a turn of its own, as it comes from the midst of another."""
         self.loop.call_soon(self._refuses, server, refuses)
 
     def _refuses(self, server: bytes, refuses: bool) -> None:
-        self._changed(self.merger.refuses(self.loop.now(), server, refuses))
+        self._changed(self.merger.set_refusing(self.loop.now(), server, refuses))
 
     def _tick(self) -> None:
         self._changed(self.merger.tick(self.loop.now()))
@@ -99,8 +99,8 @@
             self.say("list_changed", version=self.version, entries=len(changed))
             self._tell(ListKind.DELTA, self.version, tuple(changed))
             if self.saved is not None:
-                self.saved.save(tuple(self.merger.believed.values()))
-        due = self.merger.due(self.loop.now())
+                self.saved.save(tuple(self.merger.merged.values()))
+        due = self.merger.next_change_at(self.loop.now())
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self.loop.call_at(due, self._tick) if due is not None else None
--- a/mintmast/store/configuration.py
+++ b/mintmast/store/configuration.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.revising import Delta, Head, Stored
-from mintmast.loop import Close, Handler, Loop, Stream
-from mintmast.loop.base import Limits
+from mintmast.decisions.gateways.revision_types import Delta, RevisionId, Stored
+from mintmast.loop import CloseReason, Handler, Loop, Stream
+from mintmast.loop.base import StreamLimits
 from mintmast.loop.real import SelectorLoop
 from mintmast.store import keeper
 from mintmast.store.keeper import save
@@ -34,7 +34,7 @@
 # µs after which a process that ended is started again
 AGAIN = 1_000_000
 # bytes not yet taken by it: a few writes of the largest file
-LIMITS = Limits(unsent=4 * MOST_BYTES)
+LIMITS = StreamLimits(max_unsent=4 * MOST_BYTES)
 
 
 class FileError(Exception):
@@ -45,10 +45,10 @@
     """What is kept; `gateway` whose it is: a publisher's term must not be copied to another machine."""
 
     gateway: str
-    head: Head
+    head: RevisionId
     document: bytes
     leads: int
-    base: Head
+    base: RevisionId
     history: tuple[Delta, ...]
 
 
@@ -166,7 +166,7 @@
             if self._waiting:
                 self._tell(self._waiting.popleft(), each == ord("+"))
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Take the process's end: what waits may be lost, and another is started."""
         self._stream, waiting = None, list(self._waiting)
         self._waiting.clear()
--- a/mintmast/store/engine.py
+++ b/mintmast/store/engine.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from mintmast.decisions.gateways.records import Kept
+from mintmast.decisions.gateways.records import StoredRecord
 
 # of the file's layout; a newer one is refused untouched. 2 has kinds of records that 1 does not know
 FORMAT = 2
@@ -146,21 +146,21 @@
         Path(self.path).rename(name)
         return name
 
-    def rows(self) -> Iterator[Kept]:
+    def rows(self) -> Iterator[StoredRecord]:
         """Give all records; one whose checksum is wrong has no value. Raises StoreError.
 
         Where the log broke off before its last commit there is one record more, which has no value either.
         """
         if self.doubt:
-            yield Kept(DOUBT, "", None)
+            yield StoredRecord(DOUBT, "", None)
         try:
             for kind, key, value, told in self._db.execute("SELECT kind, key, value, sum FROM records"):
                 good = isinstance(value, bytes) and _sum(str(kind), str(key), value) == told
-                yield Kept(str(kind), str(key), value if good else None)
+                yield StoredRecord(str(kind), str(key), value if good else None)
         except BROKEN as error:
             raise StoreError(f"{self.path}: {error}") from None
 
-    def write(self, records: Iterable[Kept]) -> None:
+    def write(self, records: Iterable[StoredRecord]) -> None:
         """Make these durable, all or none. Raises StoreError."""
         try:
             with self._db:
--- a/mintmast/store/line.py
+++ b/mintmast/store/line.py
@@ -11,16 +11,16 @@
 import msgspec
 
 from mintmast.decisions.gateways.records import (
-    Kept,
-    Kind,
-    Recovered,
-    Write,
-    Written,
-    kept,
-    next_life,
-    recover,
+    StoredRecord,
+    RecordKind,
+    RecoveredState,
+    WriteRecords,
+    RecordsWritten,
+    encode_record,
+    next_generation,
+    recover_state,
 )
-from mintmast.loop.base import Close, Handler, Limits, Stream
+from mintmast.loop.base import CloseReason, Handler, StreamLimits, Stream
 from mintmast.loop.real import SelectorLoop
 from mintmast.store.engine import StoreError
 from mintmast.store.frames import Frames, framed
@@ -32,7 +32,7 @@
 # writes that may be without an answer; beyond, they are told as not good: a disk that stands for seconds
 MOST_WAITING = 20_000
 # bytes: so many writes of the longest records
-LIMITS = Limits(unsent=1 << 25)
+LIMITS = StreamLimits(max_unsent=1 << 25)
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     gateway: str
     sock: socket.socket
     process: subprocess.Popen
-    kept: Recovered
+    kept: RecoveredState
     start: int
     moved: str = ""
 
@@ -62,12 +62,12 @@
     sock.settimeout(OPEN_TIME)
     frames, moved = Frames(), ""
 
-    def rows() -> Iterator[Kept]:  # as they come: a million at once would be as much memory again
+    def rows() -> Iterator[StoredRecord]:  # as they come: a million at once would be as much memory again
         nonlocal moved
         for frame in _read(sock, frames):
             told = msgspec.msgpack.decode(frame)
             if isinstance(told, list):
-                yield from (Kept(*row) for row in told)
+                yield from (StoredRecord(*row) for row in told)
             elif isinstance(told, str) and told.startswith("!"):
                 raise StoreError(told[1:])
             else:
@@ -76,9 +76,9 @@
         raise ValueError("it ended in the middle")
 
     try:
-        found = recover(rows())
-        start = next_life(wall_ms, found.life)
-        sock.sendall(framed(_batch(0, (kept(Kind.LIFE, "", start),))))
+        found = recover_state(rows())
+        start = next_generation(wall_ms, found.generation)
+        sock.sendall(framed(_batch(0, (encode_record(RecordKind.GENERATION, "", start),))))
         answers = (msgspec.msgpack.decode(frame) for frame in _read(sock, frames))
         # many records take their time: a writer that waited has told the file's size meanwhile
         _, good, why = next(told for told in answers if not isinstance(told, dict))
@@ -99,7 +99,7 @@
         yield from frames.feed(data)
 
 
-def _batch(token: int, records: tuple[Kept, ...]) -> list:
+def _batch(token: int, records: tuple[StoredRecord, ...]) -> list:
     return [token, [[each.kind, each.key, each.value] for each in records]]
 
 
@@ -112,8 +112,8 @@
     def __init__(self, loop: SelectorLoop, opened: Opened) -> None:
         self._loop, self._opened = loop, opened
         self.start, self.kept = opened.start, opened.kept
-        opened.kept = Recovered()  # whoever begins with it holds what is needed of it
-        self._written: Callable[[Written], None] = lambda event: None
+        opened.kept = RecoveredState()  # whoever begins with it holds what is needed of it
+        self._written: Callable[[RecordsWritten], None] = lambda event: None
         self._say: Callable[..., None] = lambda event, **fields: None
         self._waiting: dict[int, None] = {}
         self._unanswered = 0
@@ -124,13 +124,13 @@
         self._frames = Frames()
         self._stream: Stream | None = loop.adopt(opened.sock, self, LIMITS)
 
-    def attach(self, written: Callable[[Written], None], say: Callable[..., None]) -> None:
+    def attach(self, written: Callable[[RecordsWritten], None], say: Callable[..., None]) -> None:
         """Tell who hears the end of writes, and who takes log lines."""
         self._written, self._say = written, say
         if self._opened.moved:
             say("store_of_another", moved_to=self._opened.moved)
 
-    def write(self, command: Write) -> None:
+    def write(self, command: WriteRecords) -> None:
         """Make records durable."""
         if self._stream is None or self._unanswered >= MOST_WAITING:
             self._loop.call_soon(self._end, command.token, False)
@@ -164,7 +164,7 @@
 
     def _end(self, token: int, good: bool) -> None:
         if token:
-            self._written(Written(token, good))
+            self._written(RecordsWritten(token, good))
 
     def _fails(self, why: str) -> None:
         """Say once that writes fail, and once that they do no more."""
@@ -172,7 +172,7 @@
             self._say("store_fails" if why else "store_writes_again", why=why)
         self.failing = why
 
-    def closed(self, reason: Close) -> None:
+    def closed(self, reason: CloseReason) -> None:
         """Take the writer's end: what waits may be lost, and another is started."""
         self._stream, waiting = None, list(self._waiting)
         self._waiting.clear()
--- a/mintmast/store/writer.py
+++ b/mintmast/store/writer.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.records import Kept
+from mintmast.decisions.gateways.records import StoredRecord
 from mintmast.store.engine import Engine, StoreError
 from mintmast.store.frames import Frames, framed
 
@@ -47,7 +47,7 @@
     """Write all in one commit, and give the answers."""
     why = ""
     try:
-        engine.write(Kept(*each) for batch in batches for each in batch.records)
+        engine.write(StoredRecord(*each) for batch in batches for each in batch.records)
     except StoreError as error:
         why = str(error)
     return b"".join(framed([batch.token, not why, why]) for batch in batches)
--- a/mintmast/telemetry/lines.py
+++ b/mintmast/telemetry/lines.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-Say = Callable[..., None]
+LogFunction = Callable[..., None]
 # lines a second beyond which they are only counted: a flood of bad peers must not become one of lines
-MOST_LINES = 200
+MAX_LINES_PER_SECOND = 200
 
 
 def open_log(path: str) -> IO[str]:
@@ -21,7 +21,9 @@
     return sys.stdout if path == "-" else open(path, "a", buffering=1, encoding="utf-8")
 
 
-def line_writer(sink: IO[str], wall: Callable[[], float], most: int = 0, **bound: Any) -> Say:
+def make_log_function(
+    sink: IO[str], wall: Callable[[], float], max_per_second: int = 0, **bound: Any
+) -> LogFunction:
     """Give the function that writes a line: JSON of what is bound, the fields, the event and its time.
 
     With `most`, no more lines a second are written; `left_out` tells how many were not, in the next one, also
@@ -33,7 +35,7 @@
     def say(event: str, **fields: Any) -> None:
         nonlocal second, written, left_out
         now = wall()
-        if most and int(now) == second and written >= most:
+        if max_per_second and int(now) == second and written >= max_per_second:
             left_out += 1
             return
         if int(now) != second:
--- a/mintmast/telemetry/metrics.py
+++ b/mintmast/telemetry/metrics.py
@@ -8,7 +8,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from mintmast.telemetry.lines import Say
+from mintmast.telemetry.lines import LogFunction
 
 # s; bounds of the histograms: a decision takes parts of a ms, a viewer waits seconds
 _ANSWER_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
@@ -125,7 +125,7 @@
 class Traces:
     """A share of the requests as OpenTelemetry spans in the log: the request, and each attempt in it."""
 
-    def __init__(self, share: float, seed: int, say: Say, wall: Callable[[], float]) -> None:
+    def __init__(self, share: float, seed: int, say: LogFunction, wall: Callable[[], float]) -> None:
         from opentelemetry.sdk.resources import Resource
         from opentelemetry.sdk.trace import TracerProvider
         from opentelemetry.sdk.trace.export import SimpleSpanProcessor, SpanExporter, SpanExportResult
--- a/mintmast/wire.py
+++ b/mintmast/wire.py
@@ -139,7 +139,7 @@
             best_rung=int(best),
             length_hint=hint if options & HINT_GIVEN else 0,
             moved=bool(options & MOVED),
-            again=bool(options & NOT_FIRST),
+            is_repeat=bool(options & NOT_FIRST),
         )
         return instance, event, at + _ORDER.size
 
@@ -239,9 +239,9 @@
 _MEMO = struct.Struct(">HIIH")
 ALL_PEERS = 0xFFFFFFFF
 # no time (µs), count or factor of a deployment is larger: more than a year
-MOST = 1e14
+MAX_SETTING = 1e14
 # cells and racks that a list can name: 16 bits
-MOST_PLACES = 1 << 16
+MAX_PLACES = 1 << 16
 
 
 def _pack_log(i: int, action: api.Log) -> bytes:
@@ -249,7 +249,7 @@
     return _TEXT.pack(1040, i, len(text)) + text
 
 
-def _pack_memo(i: int, action: api.TellPeers) -> bytes:
+def _pack_memo(i: int, action: api.SendToPeers) -> bytes:
     dest = ALL_PEERS if action.peer is None else action.peer
     return _MEMO.pack(1110, i, dest, len(action.payload)) + action.payload
 
@@ -264,7 +264,7 @@
     api.SetTimer: lambda i, a: _THREE.pack(1030, i, a.delay, a.token),
     api.Probe: lambda i, a: _HOST.pack(1130, i, a.server),
     api.CloseIdle: lambda i, a: _HOST.pack(1000, i, a.server),
-    api.TellPeers: _pack_memo,
+    api.SendToPeers: _pack_memo,
     api.Subscribe: lambda i, a: _SUBSCRIBE.pack(1080, i, a.on),
     api.FetchList: lambda i, a: _CODE.pack(1060) + _INSTANCE.pack(i),
     api.Log: _pack_log,
@@ -285,31 +285,31 @@
 def parse_settings(text: bytes) -> api.Settings:
     """Map the wire's settings to the interface; raise `WireError` where they lack what is needed."""
     try:
-        told = json.loads(text)
+        document = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise WireError(f"settings are not JSON: {error}") from None
     try:
-        return _settings(told)
+        return _map_settings(document)
     except KeyError as error:
         raise WireError(f"settings lack {error.args[0]!r}") from None
     except (TypeError, ValueError, AttributeError, IndexError, OverflowError) as error:
         raise WireError(f"settings are malformed: {error}") from None
 
 
-def _number(value: Any) -> float:
+def _finite_number(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{value!r} is not a finite number")
     return number
 
 
-def _settings(told: dict[str, Any]) -> api.Settings:
-    family, rules, caps = told["familyInfo"], told["invariants"], told.get("caps", {})
-    report, costs = told.get("report", {}), told.get("costs", {})
-    ladder = tuple(_number(kb) for kb in family["levelKb"])
-    if not ladder or min(ladder) <= 0 or int(told["nInstances"]) < 1:
+def _map_settings(document: dict[str, Any]) -> api.Settings:
+    family, rules, caps = document["familyInfo"], document["invariants"], document.get("caps", {})
+    report, costs = document.get("report", {}), document.get("costs", {})
+    ladder = tuple(_finite_number(kb) for kb in family["levelKb"])
+    if not ladder or min(ladder) <= 0 or int(document["nInstances"]) < 1:
         raise ValueError("the ladder is empty, a rate is not above 0, or there are no instances")
-    worths = tuple(_number(worth) for worth in family["ladderWorth"])
+    worths = tuple(_finite_number(worth) for worth in family["ladderWorth"])
     if len(worths) != len(ladder):
         raise ValueError("levelKb and ladderWorth differ in length")
 
@@ -317,14 +317,14 @@
         values = family.get(key, ())
         return values[place] if place < len(values) else default
 
-    services = told["services"]
+    services = document["services"]
     classes = tuple(
         api.ServiceClass(
             effect=_EFFECTS[each["idempotency"]],
-            aim=int(each.get("aim", each["hardLimit"])),
+            target_time=int(each.get("aim", each["hardLimit"])),
             deadline=int(each["hardLimit"]),
-            worth=_number(each.get("worth", 1)),
-            scale=_number(per_class("scaleByClass", place, 1)),
+            worth=_finite_number(each.get("worth", 1)),
+            scale=_finite_number(per_class("scaleByClass", place, 1)),
             floor=int(per_class("lowestRung", place, 0)),
             top=int(per_class("classTop", place, len(ladder) - 1)),
             seats=int(per_class("seats", place, 0)),
@@ -335,60 +335,65 @@
     )
     if not classes or not all(0 <= each.floor < len(ladder) and each.scale > 0 for each in classes):
         raise ValueError("no class, a floor off the ladder, or a scale not above 0")
-    told_pace = [rules.get(name, 0) for name in ("cold", "fall", "overloadFactor")]
-    told_pace += family.get("kindSlots", ())
-    if not all(0 <= _number(each) <= MOST for each in told_pace) or not 0 <= rules.get("coldFrom", 1) <= 1:
+    pace_values = [rules.get(name, 0) for name in ("cold", "fall", "overloadFactor")]
+    pace_values += family.get("kindSlots", ())
+    if (
+        not all(0 <= _finite_number(each) <= MAX_SETTING for each in pace_values)
+        or not 0 <= rules.get("coldFrom", 1) <= 1
+    ):
         raise ValueError("a cold server's pace or the streams of a kind are below 0 or beyond reason")
-    if max(int(family.get("cells", 0)), int(family.get("racks", 1))) > MOST_PLACES:
-        raise ValueError(f"more than {MOST_PLACES} cells or racks")
+    if max(int(family.get("cells", 0)), int(family.get("racks", 1))) > MAX_PLACES:
+        raise ValueError(f"more than {MAX_PLACES} cells or racks")
     span = int(rules.get("ratioSpan", 0))
     budget = (
-        api.AttemptBudget(span, _number(rules.get("extraFree", 0)), _number(rules.get("resendRatio", 0)))
+        api.AttemptBudget(
+            span, _finite_number(rules.get("extraFree", 0)), _finite_number(rules.get("resendRatio", 0))
+        )
         if span
         else None
     )
     piggyback = report.get("via", "silent") == "piggyback"
     return api.Settings(
-        instance=int(told["me"]),
-        instances=int(told["nInstances"]),
-        zone=int(told.get("zone", 0)),
+        instance=int(document["me"]),
+        instances=int(document["nInstances"]),
+        zone=int(document.get("zone", 0)),
         classes=classes,
         tenants=tuple(
-            api.Tenant(_number(each.get("quotaPerS", 0)), _number(each.get("share", 0)))
-            for each in told.get("accounts", ())
+            api.Tenant(_finite_number(each.get("quotaPerS", 0)), _finite_number(each.get("share", 0)))
+            for each in document.get("accounts", ())
         ),
-        over_share_worth=_number(told.get("overShareWorth", 1)),
+        over_share_worth=_finite_number(document.get("overShareWorth", 1)),
         rung_kb=ladder,
         rung_worth=worths,
-        links_kb=_number(family.get("linksKb", 0)),
-        weight_kb=_number(family.get("weightKb", 0)),
-        weights_told=told.get("weights", "silent") != "silent",
+        links_kb=_finite_number(family.get("linksKb", 0)),
+        weight_kb=_finite_number(family.get("weightKb", 0)),
+        has_weights=document.get("weights", "silent") != "silent",
         kind_streams=tuple(int(each) for each in family.get("kindSlots", ())),
         cells=int(family.get("cells", 0)),
         racks=max(1, int(family.get("racks", 1))),
-        uplink_kb=_number(family.get("rackLinkKb", 0)),
-        guard=_number(family.get("guard", 0)),
-        shared_adds=_number(family.get("sharedAdds", 1)),
-        live=tuple(bool(per_class("classLive", place, False)) for place in range(len(services))),
-        stall=_number(family.get("stallCost", 1)),
-        change_costs_s=_number(family.get("changeCostsS", 0)),
+        uplink_kb=_finite_number(family.get("rackLinkKb", 0)),
+        guard=_finite_number(family.get("guard", 0)),
+        shared_adds=_finite_number(family.get("sharedAdds", 1)),
+        class_is_live=tuple(bool(per_class("classLive", place, False)) for place in range(len(services))),
+        stall_cost=_finite_number(family.get("stallCost", 1)),
+        change_costs_s=_finite_number(family.get("changeCostsS", 0)),
         note_age=int(family.get("see", 0)),
         notes_every=int(family.get("reportsEvery", 0)),
         drain_grace=int(rules.get("stopSendingWithin", 0)),
-        cold=int(rules.get("cold", 0)),
-        cold_from=_number(rules.get("coldFrom", 1)),
-        fall=int(rules.get("fall", 0)),
-        fall_multiple=_number(rules.get("overloadFactor", 1)),
+        warm_up=int(rules.get("cold", 0)),
+        warm_up_from=_finite_number(rules.get("coldFrom", 1)),
+        overload_window=int(rules.get("fall", 0)),
+        overload_factor=_finite_number(rules.get("overloadFactor", 1)),
         budget=budget,
         max_attempts=int(caps.get("maxAttempts", 1)),
         max_retry_after=int(caps.get("maxRetryAfter", 0)),
         may_advise=bool(caps.get("retryAfter", False)),
         may_cancel=bool(caps.get("cancel", False)),
-        must_subscribe=told.get("discovery", "automatic") == "subscribe",
+        must_subscribe=document.get("discovery", "automatic") == "subscribe",
         load_fields=tuple(str(each) for each in report.get("fields", ())) if piggyback else (),
-        cross_zone_cost=_number(costs.get("crossZone", 0)),
-        move_cost=_number(costs.get("moves", 0)),
-        handshake_cost=_number(costs.get("handshake", 0)),
-        line_idle=int(caps.get("idleClose", 0)) // 2,
+        cross_zone_cost=_finite_number(costs.get("crossZone", 0)),
+        move_cost=_finite_number(costs.get("moves", 0)),
+        handshake_cost=_finite_number(costs.get("handshake", 0)),
+        idle_connection_time=int(caps.get("idleClose", 0)) // 2,
         connect_time=int(caps.get("connectTimeout", 0)),
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,8 +15,10 @@
         instances=2,
         zone=0,
         classes=(
-            api.ServiceClass(api.Effect.SINGLE_SHOT, aim=S, deadline=3 * S, worth=3.0, top=3, seats=2),
-            api.ServiceClass(api.Effect.FREE, aim=S, deadline=5 * S, worth=1.0, top=3),
+            api.ServiceClass(
+                api.Effect.SINGLE_SHOT, target_time=S, deadline=3 * S, worth=3.0, top=3, seats=2
+            ),
+            api.ServiceClass(api.Effect.FREE, target_time=S, deadline=5 * S, worth=1.0, top=3),
         ),
         tenants=(),
         over_share_worth=1.0,
@@ -24,23 +26,23 @@
         rung_worth=(0.25, 0.5, 0.8, 1.0),
         links_kb=40_000.0,
         weight_kb=10_000.0,
-        weights_told=False,
+        has_weights=False,
         kind_streams=(30,),
         cells=4,
         racks=1,
         uplink_kb=40_000.0,
         guard=0.0,
         shared_adds=1.0,
-        live=(False, False),
-        stall=7.0,
+        class_is_live=(False, False),
+        stall_cost=7.0,
         change_costs_s=0.5,
         note_age=S // 2,
         notes_every=3 * S,
         drain_grace=S,
-        cold=12 * S,
-        cold_from=0.4,
-        fall=1_500_000,
-        fall_multiple=2.5,
+        warm_up=12 * S,
+        warm_up_from=0.4,
+        overload_window=1_500_000,
+        overload_factor=2.5,
         budget=None,
         max_attempts=5,
         max_retry_after=500_000,
@@ -52,16 +54,18 @@
     return replace(base, **changes)
 
 
-def box(n, state=api.ServerState.READY, started=0):
+def server_entry(n, state=api.ServerState.READY, started=0):
     return api.ListEntry(bytes([10, 0, 0, n, 27, 0]), state, started, n, 0, 0, 1.0)
 
 
-def fleet(servers=4, seed=1, now=T0, **changes):
+def make_controller(servers=4, seed=1, now=T0, **changes):
     """A controller that started long before `now`, so that no server counts as cold."""
     controller = Controller(settings(**changes), seed)
     start = now - 100 * S
     controller.handle(start, api.Started())
-    controller.handle(start, api.ServerList(api.ListKind.FULL, 1, tuple(box(n) for n in range(servers))))
+    controller.handle(
+        start, api.ServerList(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(servers)))
+    )
     return controller
 
 
@@ -69,19 +73,19 @@
     return api.SessionRequest(ref, service, 0, title, budget, home, copies, best, hint)
 
 
-def end(ref, server, outcome, attempt=0, complete=False, load=()):
+def attempt_end(ref, server, outcome, attempt=0, complete=False, load=()):
     return api.AttemptEnd(ref, attempt, server, outcome, 1000, complete, load)
 
 
-def sent(actions):
+def set_ups(actions):
     return [a for a in actions if isinstance(a, api.SetUp)]
 
 
-def kinds(actions):
+def action_names(actions):
     return [type(a).__name__ for a in actions]
 
 
-def use(controller, now, server, value, ref=9000):
+def report_use(controller, now, server, value, ref=9000):
     """Tell a server's noted use through a session found playing there."""
     controller.handle(now - 2 * S, api.SessionOpen(ref, 1, 0, 77, 0, server, 500 * S))
     controller.handle(now, api.Note(ref, server, api.NoteKind.LINK, value))
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -5,7 +5,7 @@
 from mintmast.loop.base import Handler
 from mintmast.loop.memory import World
 from mintmast.signalling import messages
-from mintmast.signalling.messages import Cause, Kind, Param, Reader, encode, release
+from mintmast.signalling.messages import Cause, MessageKind, Param, MessageReader, encode, encode_release
 from mintmast.signalling.node import Config, Node
 
 MS = 1000
@@ -34,7 +34,7 @@
 
     def __init__(self, on=None):
         self.on, self.stream, self.closed_by = on, None, None
-        self.read, self.reader = [], Reader()
+        self.read, self.reader = [], MessageReader()
 
     def opened(self, stream):
         self.stream = stream
@@ -49,7 +49,7 @@
         self.closed_by = reason
 
     def of(self, call, kind=None):
-        return [m for m in self.read if m.call == call and kind in (None, m.kind)]
+        return [m for m in self.read if m.call_id == call and kind in (None, m.kind)]
 
 
 class Host:
@@ -73,7 +73,7 @@
         return self.ends[-1]
 
     def tell(self, end, call, cause):
-        end.stream.write(release(call, cause))
+        end.stream.write(encode_release(call, cause))
 
     def end(self, call, cause=Cause.NORMAL_CLEARING):
         """End a session: told on the connection of its set-up, and on the next one opened."""
@@ -82,25 +82,27 @@
         self.tell(home if home.closed_by is None else self.live()[-1], call, cause)
 
     def take(self, end, message):
-        if message.kind == Kind.TEST:
-            end.stream.write(messages.tested(message.call, True))
-        elif message.kind == Kind.SET_UP:
+        if message.kind == MessageKind.HEALTH_CHECK:
+            end.stream.write(messages.encode_health_check_reply(message.call_id, True))
+        elif message.kind == MessageKind.SET_UP:
             self.set_ups.append((self.platform.now(), message))
-            self.home[message.call] = end
+            self.home[message.call_id] = end
             self.script(self, end, message)
-        elif message.kind == Kind.RELEASE:
-            self.cuts.append(message.call)
+        elif message.kind == MessageKind.RELEASE:
+            self.cuts.append(message.call_id)
 
     def live(self):
         return [end for end in self.ends if end.closed_by is None]
 
 
 def play(host, end, message):
-    end.stream.write(encode(Kind.ANSWER, message.call, [(Param.DESCRIPTION, b"from " + host.name.encode())]))
+    end.stream.write(
+        encode(MessageKind.ANSWER, message.call_id, [(Param.DESCRIPTION, b"from " + host.name.encode())])
+    )
 
 
 def refuse(cause):
-    return lambda host, end, message: end.stream.write(release(message.call, cause))
+    return lambda host, end, message: end.stream.write(encode_release(message.call_id, cause))
 
 
 def silent(host, end, message):
@@ -144,7 +146,7 @@
             self.log.streams.remove(self.stream)
 
 
-def entry(name, state="Ready", addr=None, cell=0, started=0):
+def host_entry(name, state="Ready", addr=None, cell=0, started=0):
     return {"id": f"id-{name}", "addr": addr or f"{name}:5060", "zone": "east", "kind": "std"} | {
         "cell": cell,
         "state": state,
@@ -153,7 +155,7 @@
     }
 
 
-def news(seq, *entries, full=False):
+def list_event(seq, *entries, full=False):
     return {"seq": seq, "fleet": {"version": seq, "full": full, "servers": list(entries)}}
 
 
@@ -164,7 +166,7 @@
         self.world = World(seed)
         self.hosts = {name: Host(self, name, script) for name in names}
         self.log = Log(self)
-        known = {"seq": 1, "results": [news(1, *map(entry, names), full=True)]}
+        known = {"seq": 1, "results": [list_event(1, *map(host_entry, names), full=True)]}
         self.config = msgspec.convert(
             {"name": "n0", "listen": "gw:5060", "seed": "1f", "limits": {"sockets": sockets}}
             | {"changelog": "log:2379", "known": known}
@@ -201,14 +203,25 @@
 def set_up(call, service="free", ms=3000, figures="home:0;copies:4;top:2", **change):
     params = {
         Param.CLASS: service,
-        Param.PATIENCE: str(ms),
+        Param.TIMEOUT: str(ms),
         Param.TENANT: "acme",
         Param.TITLE: "7f3a9c21e0b4d655",
-        Param.HINT: "8200.0",
-        Param.FIGURES: figures,
+        Param.LENGTH_HINT: "8200.0",
+        Param.PLACEMENT: figures,
         Param.DESCRIPTION: "v=0",
     } | {Param[name.upper()]: value for name, value in change.items()}
-    return encode(Kind.SET_UP, call, [(k, v.encode()) for k, v in params.items() if v is not None])
-
-
-__all__ = ["Cause", "Kind", "Param", "Platform", "entry", "news", "play", "refuse", "set_up", "silent"]
+    return encode(MessageKind.SET_UP, call, [(k, v.encode()) for k, v in params.items() if v is not None])
+
+
+__all__ = [
+    "Cause",
+    "MessageKind",
+    "Param",
+    "Platform",
+    "host_entry",
+    "list_event",
+    "play",
+    "refuse",
+    "set_up",
+    "silent",
+]
