--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -11,10 +11,10 @@
 import time
 
 import pytest
-from platform_world import SETTINGS, entry, news
+from platform_world import SETTINGS, host_entry, list_event
 
 from mintmast.signalling import messages
-from mintmast.signalling.messages import Kind, Reader, encode
+from mintmast.signalling.messages import MessageKind, MessageReader, encode
 
 # what belongs to the other ways in and out, and what only costs room
 UNWANTED = (
@@ -22,17 +22,17 @@
 )
 
 
-LONGEST = 60  # s that a process has in a test
+MAX_PROCESS_SECONDS = 60  # s that a process has in a test
 
 
-def config(path, port, **change):
+def write_config(path, port, **change):
     told = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
         "changelog": "127.0.0.1:1",
-        "known": {"seq": 1, "results": [news(1, entry("a", addr="127.0.0.1:1"), full=True)]},
+        "known": {"seq": 1, "results": [list_event(1, host_entry("a", addr="127.0.0.1:1"), full=True)]},
         "settings": SETTINGS,
     } | change
     path.write_text(json.dumps(told))
@@ -45,18 +45,18 @@
         return sock.getsockname()[1]
 
 
-def start(path):
+def start_process(path):
     command = [sys.executable, "-m", "mintmast", "node", str(path)]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
     late = threading.Timer(
-        LONGEST, process.kill
+        MAX_PROCESS_SECONDS, process.kill
     )  # what it does not say by then fails the test that waits for it
     late.daemon = True
     late.start()
     return process
 
 
-def until(process, event):
+def wait_for_event(process, event):
     for line in process.stderr:
         said = json.loads(line)
         if said["event"] == event:
@@ -64,29 +64,29 @@
     raise AssertionError(f"ended without {event}")
 
 
-def ask(port):
+def check_health(port):
     with socket.create_connection(("127.0.0.1", port), 10) as sock:
-        sock.sendall(messages.test(bytes(8)))
-        return Reader().feed(sock.recv(100))[0]
+        sock.sendall(messages.encode_health_check(bytes(8)))
+        return MessageReader().feed(sock.recv(100))[0]
 
 
 def test_it_serves_takes_a_new_configuration_refuses_a_bad_one_and_ends_when_told_to(tmp_path):
     port = free_port()
-    path = config(tmp_path / "config.json", port)
-    process = start(path)
+    path = write_config(tmp_path / "config.json", port)
+    process = start_process(path)
     try:
-        until(process, "serving")
-        answer = ask(port)
-        assert answer.kind == Kind.TESTED and answer.cause == 1
+        wait_for_event(process, "serving")
+        answer = check_health(port)
+        assert answer.kind == MessageKind.HEALTH_CHECK_REPLY and answer.cause == 1
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        assert "config.json" in until(process, "reload")["refused"]
-        config(path, port, changelog="127.0.0.1:2")
+        assert "config.json" in wait_for_event(process, "reload")["refused"]
+        write_config(path, port, changelog="127.0.0.1:2")
         process.send_signal(signal.SIGHUP)
-        assert until(process, "reloaded")["changelog"] == "127.0.0.1:2"
+        assert wait_for_event(process, "reloaded")["changelog"] == "127.0.0.1:2"
         process.send_signal(signal.SIGTERM)
-        until(process, "stopping")
-        assert ask(port).cause == 0
+        wait_for_event(process, "stopping")
+        assert check_health(port).cause == 0
         assert process.wait(30) == 0
     finally:
         process.kill()
@@ -95,35 +95,35 @@
 def test_signals_that_come_before_the_configuration_is_read_are_kept(tmp_path):
     """A pipe in the configuration's place holds the start up until the signals have been sent."""
     port = free_port()
-    text = config(tmp_path / "told.json", port, changelog="127.0.0.1:2").read_text()
+    text = write_config(tmp_path / "told.json", port, changelog="127.0.0.1:2").read_text()
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    process = start(path)
+    process = start_process(path)
     try:
         with path.open("w") as pipe:  # it is being read from now on
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGHUP)
             (tmp_path / "told.json").replace(path)  # what is read next is a file
             pipe.write(text)
-        assert until(process, "reloaded")["changelog"] == "127.0.0.1:2"
-        assert ask(port).kind == Kind.TESTED
+        assert wait_for_event(process, "reloaded")["changelog"] == "127.0.0.1:2"
+        assert check_health(port).kind == MessageKind.HEALTH_CHECK_REPLY
     finally:
         process.kill()
 
 
 def test_a_new_configuration_that_no_descriptor_is_left_for_is_read_as_soon_as_there_is_one(tmp_path):
     port = free_port()
-    path = config(tmp_path / "config.json", port)
-    process = start(path)
+    path = write_config(tmp_path / "config.json", port)
+    process = start_process(path)
     try:
-        until(process, "serving")
+        wait_for_event(process, "serving")
         limit = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (3, limit[1]))
-        config(path, port, changelog="127.0.0.1:2")
+        write_config(path, port, changelog="127.0.0.1:2")
         process.send_signal(signal.SIGHUP)
-        assert "open files" in until(process, "reload")["refused"]
+        assert "open files" in wait_for_event(process, "reload")["refused"]
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, limit)
-        assert until(process, "reloaded")["changelog"] == "127.0.0.1:2"
+        assert wait_for_event(process, "reloaded")["changelog"] == "127.0.0.1:2"
     finally:
         process.kill()
 
@@ -145,8 +145,8 @@
     if isinstance(change, str):
         path.write_text(change)
     else:
-        config(path, free_port(), **change)
-    process = start(path)
+        write_config(path, free_port(), **change)
+    process = start_process(path)
     _, error = process.communicate(timeout=30)
     assert process.returncode == 2 and error.count("\n") == 1 and word in error
 
@@ -159,19 +159,19 @@
 
 def test_encoding_a_message_that_is_too_long_is_refused():
     with pytest.raises(ValueError, match="17"):
-        encode(Kind.SET_UP, bytes(8), [(46, bytes(17_000))])
+        encode(MessageKind.SET_UP, bytes(8), [(46, bytes(17_000))])
 
 
 def test_a_process_that_stood_still_says_for_how_long(tmp_path):
     port = free_port()
-    process = start(config(tmp_path / "conf.json", port))
+    process = start_process(write_config(tmp_path / "conf.json", port))
     try:
-        until(process, "serving")
-        ask(port)  # its loop turns
+        wait_for_event(process, "serving")
+        check_health(port)  # its loop turns
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.6)
         process.send_signal(signal.SIGCONT)
-        said = until(process, "stood still")
+        said = wait_for_event(process, "stood still")
         assert 250 < said["ms"] < 20_000
         process.send_signal(signal.SIGTERM)
         rest = [json.loads(line) for line in process.stderr]
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from platform_world import SETTINGS, Kind, Platform
+from platform_world import SETTINGS, MessageKind, Platform
 
 from mintmast.signalling.configuration import ConfigError
 from mintmast.wire import WireError
@@ -83,7 +83,7 @@
     calls += [platform.ask(end, name, ms=400, tenant=tenant) for name in names]
     platform.run(6)
     for call in calls if end.closed_by is None else ():
-        assert len([m for m in end.of(call) if m.kind in (Kind.ANSWER, Kind.RELEASE)]) in (1, 2)
+        assert len([m for m in end.of(call) if m.kind in (MessageKind.ANSWER, MessageKind.RELEASE)]) in (1, 2)
     return True
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,15 +6,22 @@
 
 import msgspec
 import pytest
-from helpers import S, box, settings
+from helpers import S, server_entry, settings
 
 from mintmast import interface as api
 from mintmast.decide import Controller
 from mintmast.decisions import messages as b
-from mintmast.decisions.gateways import talk
-from mintmast.decisions.gateways.records import Intent, Kept, Kind, Write, Written, recover
-from mintmast.decisions.gateways.standing import Proof
-from mintmast.decisions.outcomes import FATES, Evidence, Fate, Word, reaches
+from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.records import (
+    Intent,
+    StoredRecord,
+    RecordKind,
+    WriteRecords,
+    RecordsWritten,
+    recover_state,
+)
+from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.outcomes import RECOVERY_TABLE, Evidence, RecoveryOutcome, HostReport, memory_covers
 from mintmast.decisions.sessions.book import SessionBook
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.lab import drills
@@ -23,7 +30,7 @@
 NAMES = Catalogue(("paid", "free"), ("one", "two"), tuple(f"t{n}" for n in range(9)))
 
 
-class Life:
+class GatewayRun:
     """One run of a gateway's process with a store; `rows` is its disk."""
 
     def __init__(self, rows, now=T0, start=7, members=(), names=NAMES, seats=2):
@@ -33,223 +40,233 @@
         self.book = SessionBook(
             controller.settings, controller.handle, LEASE, 100, None, "g0", start, members, names
         )
-        self.out = self.book.start(now, recover(list(rows.values())))
-        self.take(b.ListNews(api.ListKind.FULL, 1, tuple(box(n) for n in range(4))))
+        self.out = self.book.start(now, recover_state(list(rows.values())))
+        self.handle(b.ServerListUpdate(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(4))))
         for n in range(4):
-            self.take(b.HostHello(box(n).server, "p", None, False, 5))
+            self.handle(b.HostConnected(server_entry(n).server, "p", None, False, 5))
 
-    def take(self, event, after=1000):
+    def handle(self, event, after=1000):
         self.now += after
-        self.out += self.book.take(self.now, event)
+        self.out += self.book.handle(self.now, event)
 
-    def got(self, kind):
+    def take_commands(self, kind):
         found = [each for each in self.out if isinstance(each, kind)]
         self.out = [each for each in self.out if not isinstance(each, kind)]
         return found
 
     def flush(self, good=True):
         """Complete the pending writes of the store; they fail if `good` is false."""
-        for write in self.got(Write):
+        for write in self.take_commands(WriteRecords):
             if good:
                 for each in write.records:
                     self.rows[each.kind, each.key] = each
                     if each.value is None:
                         del self.rows[each.kind, each.key]
             if write.token:
-                self.take(Written(write.token, good))
+                self.handle(RecordsWritten(write.token, good))
 
-    def due(self, name):
+    def fire_timer(self, name):
         """Fire the first pending timer of a kind."""
-        wake = next(each for each in self.out if isinstance(each, b.Wake) and each.token[0] == name)
+        wake = next(each for each in self.out if isinstance(each, b.ScheduleTimer) and each.token[0] == name)
         self.out.remove(wake)
         self.now = max(self.now, wake.at)
-        self.take(b.Due(wake.token), 0)
+        self.handle(b.TimerFired(wake.token), 0)
 
     def ask(self, number, key="k", service=0, title=5):
-        self.take(b.Ask(number, service, 0, title, 0, 4, 3, 2 * S, key, 10 * S))
+        self.handle(b.ViewerRequest(number, service, 0, title, 0, 4, 3, 2 * S, key, 10 * S))
 
     def verdicts(self):
-        return [each.verdict for each in self.got(b.Give)]
+        return [each.verdict for each in self.take_commands(b.AnswerRequest)]
 
-    def settle(self, word, since=0, rung=2, clock=9):
-        (asked,) = self.got(b.SendSettle)
+    def answer_query(self, word, since=0, rung=2, clock=9):
+        (asked,) = self.take_commands(b.SendReconciliation)
         words = tuple((number, word, rung) for number, _ in asked.sessions) if word else ()
-        told = b.Told((), clock) if word else b.NOTHING
-        self.take(b.Settled(asked.server, self.now - 500, asked.number, since if word else -1, words, told))
+        told = b.HostStatus((), clock) if word else b.NO_STATUS
+        self.handle(
+            b.ReconciliationEnded(
+                asked.server, self.now - 500, asked.call_number, since if word else -1, words, told
+            )
+        )
 
 
-def played(rows, **more):
+def play_session(rows, **more):
     """Play a paid session in one run of the gateway and return its set-up."""
-    first = Life(rows, **more)
+    first = GatewayRun(rows, **more)
     first.ask(1)
-    assert not first.got(b.SendSetUp)  # not before the record is durable
+    assert not first.take_commands(b.SendSetUp)  # not before the record is durable
     first.flush()
-    (sent,) = first.got(b.SendSetUp)
-    first.take(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
+    (sent,) = first.take_commands(b.SendSetUp)
+    first.handle(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
     assert first.verdicts() == [b.Verdict.PLAYS]
     return sent
 
 
-def test_a_set_up_that_cannot_be_recorded_is_not_sent_and_its_viewer_refused():
-    life = Life({})
+def test_set_up_that_cannot_be_recorded_is_not_sent_and_its_viewer_is_refused():
+    life = GatewayRun({})
     life.ask(1)
     life.flush(good=False)
-    (give,) = life.got(b.Give)
-    assert give.verdict is b.Verdict.REFUSED and "records" in give.reason and not life.got(b.SendSetUp)
+    (give,) = life.take_commands(b.AnswerRequest)
+    assert (
+        give.verdict is b.Verdict.REFUSED and "records" in give.reason and not life.take_commands(b.SendSetUp)
+    )
     life.ask(2)  # the disk hangs: the request times out with nothing sent
-    life.got(b.Give)
-    writes = life.got(Write)
-    life.due("late")
-    life.due("late")
+    life.take_commands(b.AnswerRequest)
+    writes = life.take_commands(WriteRecords)
+    life.fire_timer("late")
+    life.fire_timer("late")
     assert life.verdicts() == [b.Verdict.REFUSED]
     life.ask(3, "gone")
-    life.take(b.AskGone(3))
+    life.handle(b.RequestCancelled(3))
     life.out += writes
     life.flush()
-    assert not life.got(b.SendSetUp) and not life.book.held
+    assert not life.take_commands(b.SendSetUp) and not life.book.held
     life.ask(4)
     life.flush()
-    assert len(life.got(b.SendSetUp)) == 1
+    assert len(life.take_commands(b.SendSetUp)) == 1
     life.ask(5, "free one", service=1)
-    assert len(life.got(b.SendSetUp)) == 1  # does not wait for the record
+    assert len(life.take_commands(b.SendSetUp)) == 1  # does not wait for the record
 
 
-def test_a_session_that_plays_goes_on_in_the_next_life_under_its_name_and_on_its_seat():
+def test_playing_session_resumes_after_a_restart_with_its_name_and_seat():
     rows = {}
-    sent = played(rows)
-    life = Life(rows, now=T0 + S, start=8, seats=1)
-    (named,) = life.got(b.Named)
+    sent = play_session(rows)
+    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
+    (named,) = life.take_commands(b.SessionNamed)
     assert named.name == "g0-7-1"
     life.ask(1)
     life.ask(2, "other")
     assert life.verdicts() == [b.Verdict.REFUSED]  # the only seat is taken; the request with the key waits
-    life.settle(Word.PLAYS)
-    (give,) = life.got(b.Give)
+    life.answer_query(HostReport.PLAYS)
+    (give,) = life.take_commands(b.AnswerRequest)
     assert (give.verdict, give.server, give.rung, give.epoch) == (b.Verdict.PLAYS, sent.server, 2, sent.epoch)
-    life.due("renew")
-    (renewal,) = life.got(b.SendRenew)
+    life.fire_timer("renew")
+    (renewal,) = life.take_commands(b.SendRenewal)
     assert renewal.sessions == ((named.session, sent.epoch, 2),)
-    life.take(b.SessionEnded(sent.server, named.session))
+    life.handle(b.SessionEnded(sent.server, named.session))
     life.flush()
-    third = Life(rows, now=T0 + 9 * S, start=9)
+    third = GatewayRun(rows, now=T0 + 9 * S, start=9)
     third.ask(1)
-    assert third.verdicts() == [b.Verdict.FAILED] and not third.got(b.SendSettle)
+    assert third.verdicts() == [b.Verdict.FAILED] and not third.take_commands(b.SendReconciliation)
 
 
-@pytest.mark.parametrize(("word", "since"), [(Word.RAN, 0), (Word.NOT_HERE, 8)])
-def test_what_ran_or_may_have_run_stays_spent(word, since):
+@pytest.mark.parametrize(("word", "since"), [(HostReport.RAN, 0), (HostReport.NOT_HERE, 8)])
+def test_key_of_a_session_that_ran_or_may_have_run_stays_used(word, since):
     rows = {}
-    played(rows)
-    life = Life(rows, now=T0 + S, start=8, seats=1)
+    play_session(rows)
+    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
     life.ask(1)
-    life.settle(word, since)
+    life.answer_query(word, since)
     assert life.verdicts() == [b.Verdict.FAILED]
     life.flush()
     life.ask(2, "other")
     life.flush()
-    assert len(life.got(b.SendSetUp)) == 1  # its seat is free
+    assert len(life.take_commands(b.SendSetUp)) == 1  # its seat is free
     life.ask(3)
     assert life.verdicts() == [b.Verdict.FAILED]
 
 
-def test_what_never_ran_is_refused_and_may_be_asked_for_again():
+def test_session_that_never_ran_is_refused_and_may_be_requested_again():
     rows = {}
     members = ("g0", "g1", "g2")
-    first = Life(rows, members=members)
+    first = GatewayRun(rows, members=members)
     first.ask(1)
     for peer in ("g1", "g2"):
-        first.take(talk.PeerStands(peer, Proof.HEARD, 5))
-    for claim in first.got(talk.SendClaim):
-        first.take(talk.Voted(claim.peer, claim.number, talk.Vote.GRANTED, (), 5))
+        first.handle(claim_messages.PeerStatusChanged(peer, Liveness.HEARD, 5))
+    for claim in first.take_commands(claim_messages.SendClaim):
+        first.handle(
+            claim_messages.VoteReceived(claim.peer, claim.number, claim_messages.Vote.GRANTED, (), 5)
+        )
     first.flush()
-    assert len(first.got(b.SendSetUp)) == 1  # and the gateway crashes
-    life = Life(rows, now=T0 + S, start=8, members=members)
+    assert len(first.take_commands(b.SendSetUp)) == 1  # and the gateway crashes
+    life = GatewayRun(rows, now=T0 + S, start=8, members=members)
     life.ask(1)
-    life.settle(Word.NOT_HERE)
+    life.answer_query(HostReport.NOT_HERE)
     assert life.verdicts() == [b.Verdict.REFUSED]
-    released = life.got(talk.SendRelease)
+    released = life.take_commands(claim_messages.SendRelease)
     assert {each.owner for each in released} == {"g0/7"} and len(released) == 2
     life.flush()
-    assert not [key for kind, key in rows if kind == Kind.INTENT.value]
+    assert not [key for kind, key in rows if kind == RecordKind.INTENT.value]
 
 
-def test_a_host_that_does_not_answer_is_asked_until_nothing_can_play_there():
+def test_host_that_does_not_reply_is_queried_until_nothing_can_play_there():
     rows = {}
-    played(rows)
-    life = Life(rows, now=T0 + S, start=8, seats=1)
+    play_session(rows)
+    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
     begin, asked = life.now, 0
-    while life.book.recovery.open and asked < 99:
-        life.settle(None)
+    while life.book.recovery.unsettled_count and asked < 99:
+        life.answer_query(None)
         asked += 1
-        if life.book.recovery.open:
-            life.due("settle")
+        if life.book.recovery.unsettled_count:
+            life.fire_timer("settle")
     assert asked > 5 and 2 * LEASE < life.now - begin < 3 * LEASE
     life.ask(1)
     assert life.verdicts() == [b.Verdict.FAILED]
     life.ask(2, "other")
     life.flush()
-    assert len(life.got(b.SendSetUp)) == 1
+    assert len(life.take_commands(b.SendSetUp)) == 1
 
 
-def test_a_free_session_goes_on_unless_its_viewer_has_come_again():
+def test_free_session_resumes_unless_its_viewer_has_retried():
     rows = {}
-    first = Life(rows)
+    first = GatewayRun(rows)
     for number in (1, 2):
         first.ask(number, f"k{number}", service=1)
     first.flush()
-    for sent in first.got(b.SendSetUp):
-        first.take(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
-    life = Life(rows, now=T0 + S, start=8)
+    for sent in first.take_commands(b.SendSetUp):
+        first.handle(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
+    life = GatewayRun(rows, now=T0 + S, start=8)
     life.ask(1, "k1", service=1)
-    (again,) = life.got(b.SendSetUp)
-    life.take(b.SetUpEnded(again.session, 0, Evidence.STARTED))
-    for asked in life.got(b.SendSettle):
-        words = tuple((number, Word.PLAYS, 1) for number, _ in asked.sessions)
-        life.take(b.Settled(asked.server, life.now, asked.number, 0, words, b.Told((), 9)))
-    assert len(life.got(b.SendEnd)) == 1 and life.book.held == 2
+    (again,) = life.take_commands(b.SendSetUp)
+    life.handle(b.SetUpEnded(again.session, 0, Evidence.STARTED))
+    for asked in life.take_commands(b.SendReconciliation):
+        words = tuple((number, HostReport.PLAYS, 1) for number, _ in asked.sessions)
+        life.handle(
+            b.ReconciliationEnded(asked.server, life.now, asked.call_number, 0, words, b.HostStatus((), 9))
+        )
+    assert len(life.take_commands(b.SendTermination)) == 1 and life.book.held == 2
     life.ask(2, "k2", service=1)
-    assert life.verdicts() == [b.Verdict.PLAYS] * 2 and not life.got(b.SendSetUp)
+    assert life.verdicts() == [b.Verdict.PLAYS] * 2 and not life.take_commands(b.SendSetUp)
 
 
-def test_settings_that_changed_over_the_death_never_make_a_key_unspent():
+def test_settings_changed_during_a_restart_never_make_a_used_key_usable():
     rows = {}
-    played(rows)
+    play_session(rows)
     turned = replace(NAMES, titles=tuple(reversed(NAMES.titles)))
-    life = Life(rows, now=T0 + S, start=8, names=turned)
+    life = GatewayRun(rows, now=T0 + S, start=8, names=turned)
     (found,) = life.book.sessions.by_number.values()
-    assert found.ask.title == NAMES.titles[::-1].index("t5")
-    fewer = Life(rows, now=T0 + S, start=8, names=replace(NAMES, titles=("t0",)))
+    assert found.request.title == NAMES.titles[::-1].index("t5")
+    fewer = GatewayRun(rows, now=T0 + S, start=8, names=replace(NAMES, titles=("t0",)))
     assert not fewer.book.held
     fewer.ask(1)
     assert fewer.verdicts() == [b.Verdict.FAILED]
 
 
-def test_orders_of_operators_outlive_a_death_and_are_told_when_they_are_durable():
+def test_operators_orders_survive_a_crash_and_are_confirmed_when_durable():
     rows = {}
-    first = Life(rows, members=("g0", "g1", "g2"))
-    server = box(2).server
-    first.take(b.Drain(server, True, 60 * S))
-    assert not first.got(b.Ordered)
-    first.take(talk.PeerStands("g1", Proof.ORDER, 5))
+    first = GatewayRun(rows, members=("g0", "g1", "g2"))
+    server = server_entry(2).server
+    first.handle(b.DrainOrdered(server, True, 60 * S))
+    assert not first.take_commands(b.DrainRecorded)
+    first.handle(claim_messages.PeerStatusChanged("g1", Liveness.ORDER, 5))
     first.flush()
-    assert first.got(b.Ordered) == [b.Ordered(server, True)]
-    kept = recover(list(rows.values()))
+    assert first.take_commands(b.DrainRecorded) == [b.DrainRecorded(server, True)]
+    kept = recover_state(list(rows.values()))
     assert kept.members == {"g1": (5, True)}
-    life = Life(rows, now=T0 + S, start=8)
-    assert life.book.watch.hosts[server].ordered and life.book.watch.to_leave(server)
-    assert life.book.fleet.drains.ends(server) - T0 > 55 * S
-    life.take(b.Drain(server, False))
+    life = GatewayRun(rows, now=T0 + S, start=8)
+    assert life.book.host_watch.hosts[server].drain_ordered and life.book.host_watch.should_vacate(server)
+    assert life.book.fleet.drains.deadline_of(server) - T0 > 55 * S
+    life.handle(b.DrainOrdered(server, False))
     life.flush()
-    assert not Life(rows, now=T0 + 2 * S, start=9).book.watch.to_leave(server)
+    assert not GatewayRun(rows, now=T0 + 2 * S, start=9).book.host_watch.should_vacate(server)
 
 
-def test_odd_intents_spend_nothing_they_should_not_and_stop_nothing():
+def test_malformed_intents_neither_start_sessions_nor_stop_the_gateway():
     good = Intent(10**12, "k", "g0-7-1", "h:1", 3, 5, 1, "paid", "one", "t5", 3, 9, 0, 4, False)
     odd = [msgspec.structs.replace(good, rung=99, best_rung=-5, server="no address", epoch=-1, clock=-9)]
     odd += [msgspec.structs.replace(good, service="nobody", length=-1)]
     for each in odd:
-        rows = {("intent", "d"): Kept("intent", "d", msgspec.msgpack.encode(each))}
-        life = Life(rows)
+        rows = {("intent", "d"): StoredRecord("intent", "d", msgspec.msgpack.encode(each))}
+        life = GatewayRun(rows)
         life.ask(1)
         assert b.Verdict.PLAYS not in life.verdicts()
 
@@ -260,7 +277,7 @@
 FIELDS = "stage clock record out host fenced ran plays asks answers fate".split()
 
 
-def walk(fates=FATES, covers=reaches, fence=True, record_first=True):
+def explore(fates=RECOVERY_TABLE, covers=memory_covers, fence=True, record_first=True):
     """Explore a paid set-up with a crash of its gateway, a restart of its host, and delayed or lost queries.
 
     A state is (gateway, clock reading, record on disk, set-up, host's process, fenced there, the process in
@@ -277,7 +294,7 @@
         state = queue.popleft()
         stage, clock, record, out, host, fenced, ran, plays, asks, answers, fate = state
         may_run = out == ("out", host) and not fenced
-        if fate is Fate.NEVER_RAN and (ran is not None or may_run):
+        if fate is RecoveryOutcome.NEVER_RAN and (ran is not None or may_run):
             return len(seen), state
         if stage == "lost" and (ran is not None or may_run):
             return len(seen), state  # the next run of the gateway has no record and would set it up again
@@ -309,14 +326,14 @@
             rest = asks[:place] + asks[place + 1 :]
             to(asks=rest)
             if life == host:
-                word = Word.PLAYS if plays else Word.RAN if ran == host else Word.NOT_HERE
-                stop = fenced or (fence and word is Word.NOT_HERE)
+                word = HostReport.PLAYS if plays else HostReport.RAN if ran == host else HostReport.NOT_HERE
+                stop = fenced or (fence and word is HostReport.NOT_HERE)
                 to(asks=rest, fenced=stop, answers=(*answers, (word, host)))
         for place, (word, since) in enumerate(answers):
             rest = answers[:place] + answers[place + 1 :]
             to(answers=rest)
             if fate is None:
-                to(answers=rest, fate=fates[word, covers(clock, since)].fate)
+                to(answers=rest, fate=fates[word, covers(clock, since)].outcome)
         for each in after:
             if each not in seen:
                 seen.add(each)
@@ -324,8 +341,8 @@
     return len(seen), None
 
 
-def test_nothing_that_ran_or_may_run_is_ever_taken_for_never_run():
-    states, broken = walk()
+def test_session_that_ran_or_may_run_is_never_concluded_to_have_never_run():
+    states, broken = explore()
     print(states, "states")
     assert broken is None and states > 500
 
@@ -336,22 +353,24 @@
         {"covers": lambda clock, since: True},  # a restarted host is believed
         {"fence": False},  # a set-up still under way may run after the query
         {"record_first": False},
-        {"fates": {**FATES, (Word.RAN, True): FATES[Word.NOT_HERE, True]}},
+        {"fates": {**RECOVERY_TABLE, (HostReport.RAN, True): RECOVERY_TABLE[HostReport.NOT_HERE, True]}},
     ],
 )
-def test_the_walk_finds_each_defence_that_is_taken_out(fault):
-    assert walk(**fault)[1] is not None
+def test_exploration_detects_each_removed_defence(fault):
+    assert explore(**fault)[1] is not None
 
 
-def test_the_table_has_a_row_for_each_word():
-    assert set(FATES) == set(product(Word, (True, False))) and all(row.reason for row in FATES.values())
+def test_recovery_table_has_a_row_for_each_report():
+    assert set(RECOVERY_TABLE) == set(product(HostReport, (True, False))) and all(
+        row.reason for row in RECOVERY_TABLE.values()
+    )
 
 
 # Drills
 
 
 @pytest.mark.parametrize("name", ["kill-lone", "kill-hosts", "kill-lone-hosts", "kill-clock", "kill-long"])
-def test_deaths_keep_all_rules_and_what_plays_goes_on(name):
+def test_crash_drills_keep_all_rules_and_playing_sessions_resume(name):
     report = drills.run(name, 502, "memory")
     assert report["good"], report["rules"]
     assert report["measures"]["settled_plays"] > 20
@@ -367,5 +386,5 @@
         ("kill-long-bare", None, "set_up_once"),
     ],
 )
-def test_days_without_these_defences_break_a_rule(name, fault, rule):
+def test_drills_without_a_defence_break_its_rule(name, fault, rule):
     assert drills.run(name, 503, "memory", fault)["rules"][rule]["broken"]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -6,7 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mintmast.decisions.hosts.registry import FULL_EVERY, Instance, Reader, entries, hashcode
+from mintmast.decisions.hosts.registry import (
+    POLLS_PER_FULL_READ,
+    Instance,
+    RegistryReader,
+    build_list_entries,
+    compute_hashcode,
+)
 from mintmast.interface import ServerState
 from mintmast.lab import drills
 from mintmast.lab.registry import RegistryStandIn
@@ -106,32 +112,35 @@
 
 
 def test_a_delta_on_a_wrong_base_or_with_a_wrong_hash_leads_to_a_full_read():
-    reader = Reader(("a",), EVERY)
-    reader.full([instance(1), instance(2)])
-    told = hashcode([instance(1), instance(2), instance(3)])
-    assert reader.delta([("ADDED", instance(3))], told) is True
-    assert reader.delta([("DELETED", instance(3)), ("MODIFIED", instance(2, "DOWN"))], "DOWN_1_UP_1_") is True
-    assert reader.delta([("ADDED", instance(4))], told) is None and not reader.whole
-    assert reader.ask() == ("a", False)
-    assert {each.id for each in reader.known.values()} == {"i1", "i2"}  # the wrong delta left no trace
+    reader = RegistryReader(("a",), EVERY)
+    reader.apply_full([instance(1), instance(2)])
+    told = compute_hashcode([instance(1), instance(2), instance(3)])
+    assert reader.apply_delta([("ADDED", instance(3))], told) is True
+    assert (
+        reader.apply_delta([("DELETED", instance(3)), ("MODIFIED", instance(2, "DOWN"))], "DOWN_1_UP_1_")
+        is True
+    )
+    assert reader.apply_delta([("ADDED", instance(4))], told) is None and not reader.has_base
+    assert reader.next_request() == ("a", False)
+    assert {each.id for each in reader.instances.values()} == {"i1", "i2"}  # the wrong delta left no trace
 
 
 def test_everything_is_read_anew_now_and_then_and_on_another_node():
-    reader = Reader(("a", "b"), EVERY)
-    reader.full([instance(1)])
-    kinds = [reader.ask()[1] for _ in range(2 * FULL_EVERY)]
+    reader = RegistryReader(("a", "b"), EVERY)
+    reader.apply_full([instance(1)])
+    kinds = [reader.next_request()[1] for _ in range(2 * POLLS_PER_FULL_READ)]
     assert kinds.count(False) == 2
-    reader.failed()
-    assert reader.ask() == ("b", False)
+    reader.handle_failure()
+    assert reader.next_request() == ("b", False)
 
 
 def test_a_machine_in_the_place_of_another_and_a_restart_are_told_by_their_start():
     old, new = instance(1, "DOWN", started=5), Instance("MEDIA", "other", "10.0.0.1:9000", "UP", 9)
-    (entry,) = entries([old, new], "media")
+    (entry,) = build_list_entries([old, new], "media")
     assert (entry.started, entry.state) == (9, ServerState.READY)
-    (entry,) = entries([new, old], "MEDIA")
+    (entry,) = build_list_entries([new, old], "MEDIA")
     assert entry.started == 9
-    assert entries([new], "OTHER") == ()
+    assert build_list_entries([new], "OTHER") == ()
 
 
 def test_the_clock_of_the_registry_may_be_off():
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -8,35 +8,35 @@
 import pytest
 
 from mintmast.decisions.gateways import history, publisher, pulls
-from mintmast.decisions.gateways.revising import (
-    MOST,
-    NOTHING,
-    AskRevisions,
+from mintmast.decisions.gateways.revision_types import (
+    MAX_NUMBER,
+    EMPTY_PATCH,
+    PullRevisions,
     Delta,
-    Head,
-    HeadHeard,
-    InForce,
-    Keep,
-    Kept,
-    Ordered,
+    RevisionId,
+    RevisionAnnounced,
+    ActiveRevision,
+    WriteRevision,
+    WriteFinished,
+    OrderAnswered,
     Publish,
-    Pulled,
-    Question,
-    Reply,
-    Say,
+    PullSucceeded,
+    RevisionRequest,
+    RevisionReply,
+    LogEvent,
     TakeOver,
-    Tick,
-    Wake,
+    TimerFired,
+    ScheduleTimer,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.rumours import Rumour
-from mintmast.decisions.gateways.words import HeadedWord, Kind, Word
+from mintmast.decisions.gateways.revision_gossip import RevisionGossip
+from mintmast.decisions.gateways.gossip_messages import GossipWithRevision, GossipKind, GossipMessage
 from mintmast.lab.revisionwalk import BEGUN, PATCHES, Model, fleet, head, walk
 from mintmast.lab.scale.configuration import rows
 from mintmast.lab.spread import Spread, check, weather
 from mintmast.loop.memory import World
-from mintmast.peers import PeerLines, Roster
+from mintmast.peers import PeerTransport, MembershipTransport
 
 SECOND = 1_000_000
 # s after the last fault in which all that run must have the same in force: the target
@@ -45,8 +45,8 @@
 
 @pytest.fixture
 def still(monkeypatch):
-    monkeypatch.setattr(pulls, "BACK_OFF", 0)
-    monkeypatch.setattr(pulls, "REFUSED_OFF", 0)
+    monkeypatch.setattr(pulls, "BACKOFF_US", 0)
+    monkeypatch.setattr(pulls, "REJECTED_BACKOFF_US", 0)
 
 
 # more by hand: see docs/design/configuration.md
@@ -66,30 +66,30 @@
 
 
 def told_early(monkeypatch):
-    keep = Revisions._keep
+    keep = Revisions._write
 
     def early(self, *args):
         keep(self, *args)
-        self._in_force(0, self._keeping)
+        self._activate(0, self._pending_write)
 
-    monkeypatch.setattr(Revisions, "_keep", early)
+    monkeypatch.setattr(Revisions, "_write", early)
     return [("publish", "a", PATCHES[0]), ("death", "a", 0)]
 
 
 def never_resigns(monkeypatch):
-    monkeypatch.setattr(publisher.Publisher, "lose", lambda self, term: False)
+    monkeypatch.setattr(publisher.Publisher, "step_down", lambda self, term: False)
     return [("over", "b"), ("kept", "b", True), ("word", "a", "b"), ("reply", "a"), ("kept", "a", True),
             ("publish", "a", PATCHES[0]), ("kept", "a", True)]  # fmt: skip
 
 
 def takes_over_in_the_old_term(monkeypatch):
-    old = lambda self, order: (1, getattr(order, "patch", NOTHING))  # noqa: E731
-    monkeypatch.setattr(publisher.Publisher, "numbers", old)
+    old = lambda self, order: (1, getattr(order, "patch", EMPTY_PATCH))  # noqa: E731
+    monkeypatch.setattr(publisher.Publisher, "term_and_patch", old)
     return [("over", "b"), ("kept", "b", True), ("publish", "a", PATCHES[0]), ("kept", "a", True)]
 
 
 def does_not_check(monkeypatch):
-    monkeypatch.setattr(history, "checked", lambda _, document, patch: check(document, patch))
+    monkeypatch.setattr(history, "validate_patch", lambda _, document, patch: check(document, patch))
     return pulled_by_c(PATCHES[2])
 
 
@@ -99,7 +99,7 @@
 
 
 def takes_over_alone(monkeypatch):
-    monkeypatch.setattr(pulls.Start, "fault", lambda self, head: "")
+    monkeypatch.setattr(pulls.StartupPhase, "refusal", lambda self, head: "")
     lost = [("death", "b", -1), ("settle", "b"), ("over", "b"), ("kept", "b", True)]
     return [*lost, *(("publish", "b", PATCHES[4]), ("kept", "b", True)), *pulled_by_c(PATCHES[0])]
 
@@ -118,7 +118,7 @@
     """Play a way as far as it can be gone; gives the fault."""
     model = Model(fleet(), 2, 1, 1, 2)
     for part in model.parts.values():
-        part._start.over = True
+        part._startup.is_over = True
     for kind, name, *more in way:
         step = kind, name, *more
         if kind == "word":
@@ -143,12 +143,12 @@
     assert model.fault  # two documents of 1.1, from the start
     model.fault = ""
     for part in model.parts.values():
-        part._start.over = True
+        part._startup.is_over = True
     model.play(("word", "c", "a", model.parts["a"].head))
     model.play(("word", "a", "c", model.parts["c"].head))
     assert model.parts["c"].document == b'{"n":9}' and model.parts["c"].forks == model.parts["a"].forks == 1
     model.take("a", Publish(1, b"{}"))
-    assert not model.kept and not model.parts["a"].publisher.leads  # it may not number any more
+    assert not model.kept and not model.parts["a"].publisher.term  # it may not number any more
     for step in (("over", "b"), ("kept", "b", True), ("word", "c", "b", model.parts["b"].head)):
         model.play(step if step[0] != "word" else (*step[:3], model.parts["b"].head))
     model.play(("reply", model.calls[0]))
@@ -181,71 +181,83 @@
 def settled(others=2, stored=None):
     part = Revisions(stored or fleet()["b"], check, random.Random(1), others)
     part.begin(0)
-    part._start.over = True
+    part._startup.is_over = True
     return part
 
 
 def asks(commands):
-    return [each for each in commands if isinstance(each, AskRevisions)]
+    return [each for each in commands if isinstance(each, PullRevisions)]
 
 
-@pytest.mark.parametrize("told", [(-1, 0, 0), (1, -5, 0), (MOST + 1, 1, 0), (1, 1 << 90, 0), (2, 2, 1 << 32)])
+@pytest.mark.parametrize(
+    "told", [(-1, 0, 0), (1, -5, 0), (MAX_NUMBER + 1, 1, 0), (1, 1 << 90, 0), (2, 2, 1 << 32)]
+)
 def test_a_head_that_cannot_be_is_counted_and_nothing_is_asked(told):
     part = settled()
-    assert part.take(1, HeadHeard("a", *told)) == [] and part.dropped["bad head"] == 1
-    assert part.publisher.highest == 1
+    assert part.handle(1, RevisionAnnounced("a", *told)) == [] and part.dropped["bad head"] == 1
+    assert part.publisher.highest_term == 1
 
 
 DEEP = b'{"n":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
 NEXT = head(1, 2, b'{"n":1}')
 BAD = [
-    ("bad reply", Reply(Head(1, 2, "x" * 16))),
-    ("bad reply", Reply(Head(1 << 50, 2, NEXT.digest))),
-    ("bad reply", Reply(NEXT)),
-    ("bad reply", Reply(NEXT, (Delta(head(1, 9, b""), NOTHING),))),
-    ("bad reply", Reply(NEXT, (), b"{", 5, 9)),
-    ("bad reply", Reply(NEXT, (), b"{}{}{}", 0, 2)),
-    ("bad reply", Reply(NEXT, (), b"{", 0, 1 << 40)),
-    ("bad digest", Reply(NEXT, (Delta(NEXT, b'{"n":2}'),))),
-    ("bad digest", Reply(NEXT, (), b"{}", 0, 2)),
-    ("refused", Reply(NEXT, (Delta(NEXT, b"no JSON"),))),
-    ("refused", Reply(NEXT, (Delta(NEXT, DEEP),))),
-    ("refused", Reply(NEXT, (Delta(NEXT, b'{"bad":1}'),))),
-    ("refused", Reply(NEXT, (Delta(NEXT, b" " * (1 << 17)),))),
+    ("bad reply", RevisionReply(RevisionId(1, 2, "x" * 16))),
+    ("bad reply", RevisionReply(RevisionId(1 << 50, 2, NEXT.digest))),
+    ("bad reply", RevisionReply(NEXT)),
+    ("bad reply", RevisionReply(NEXT, (Delta(head(1, 9, b""), EMPTY_PATCH),))),
+    ("bad reply", RevisionReply(NEXT, (), b"{", 5, 9)),
+    ("bad reply", RevisionReply(NEXT, (), b"{}{}{}", 0, 2)),
+    ("bad reply", RevisionReply(NEXT, (), b"{", 0, 1 << 40)),
+    ("bad digest", RevisionReply(NEXT, (Delta(NEXT, b'{"n":2}'),))),
+    ("bad digest", RevisionReply(NEXT, (), b"{}", 0, 2)),
+    ("refused", RevisionReply(NEXT, (Delta(NEXT, b"no JSON"),))),
+    ("refused", RevisionReply(NEXT, (Delta(NEXT, DEEP),))),
+    ("refused", RevisionReply(NEXT, (Delta(NEXT, b'{"bad":1}'),))),
+    ("refused", RevisionReply(NEXT, (Delta(NEXT, b" " * (1 << 17)),))),
 ]
 
 
 @pytest.mark.parametrize(("why", "reply"), BAD)
 def test_a_reply_that_does_not_fit_is_counted_said_and_not_in_force(why, reply):
     part = settled()
-    (ask,) = asks(part.take(1, HeadHeard("a", 1, 2, 7)))
-    out = part.take(2, Pulled(ask.call, reply))
+    (ask,) = asks(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
+    out = part.handle(2, PullSucceeded(ask.call, reply))
     assert part.dropped[why] == 1 and part.document == BEGUN
-    assert any(isinstance(each, Say) for each in out) and not any(isinstance(each, Keep) for each in out)
-    assert part.take(3, Pulled(ask.call, reply)) == [] and part.dropped["late reply"] == 1
+    assert any(isinstance(each, LogEvent) for each in out) and not any(
+        isinstance(each, WriteRevision) for each in out
+    )
+    assert part.handle(3, PullSucceeded(ask.call, reply)) == [] and part.dropped["late reply"] == 1
     # and the next sender is asked, after a while
     wait = 5 * SECOND
-    (ask,) = asks(part.take(wait, HeadHeard("c", 1, 2, 7)))
+    (ask,) = asks(part.handle(wait, RevisionAnnounced("c", 1, 2, 7)))
     good = (
-        Reply(NEXT, (), b'{"n":1}', 0, 7) if ask.question.whole else Reply(NEXT, (Delta(NEXT, b'{"n":1}'),))
+        RevisionReply(NEXT, (), b'{"n":1}', 0, 7)
+        if ask.request.whole
+        else RevisionReply(NEXT, (Delta(NEXT, b'{"n":1}'),))
     )
-    (keep,) = [each for each in part.take(wait, Pulled(ask.call, good)) if isinstance(each, Keep)]
-    part.take(wait, Kept(keep.number))
-    assert part.head == NEXT and part.fault == ""
+    (keep,) = [
+        each for each in part.handle(wait, PullSucceeded(ask.call, good)) if isinstance(each, WriteRevision)
+    ]
+    part.handle(wait, WriteFinished(keep.number))
+    assert part.head == NEXT and part.rejection_reason == ""
 
 
 def test_a_lost_answer_is_not_the_last_and_questions_that_are_none_are_counted():
     part = settled()
-    (ask,) = asks(part.take(1, HeadHeard("a", 1, 2, 7)))
-    part.take(ask.until, Tick(ask.until))
-    assert asks(part.take(ask.until + SECOND, HeadHeard("c", 1, 2, 7)))[0].source == "c"
-    for bad in (Question(-1, 0, "0" * 16), Question(1, 1, "?" * 16), Question(1, 0, "0" * 16, -1)):
+    (ask,) = asks(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
+    part.handle(ask.deadline, TimerFired(ask.deadline))
+    assert asks(part.handle(ask.deadline + SECOND, RevisionAnnounced("c", 1, 2, 7)))[0].source == "c"
+    for bad in (
+        RevisionRequest(-1, 0, "0" * 16),
+        RevisionRequest(1, 1, "?" * 16),
+        RevisionRequest(1, 0, "0" * 16, -1),
+    ):
         assert part.answer(bad) is None
     assert part.dropped["bad question"] == 3
 
 
 def test_a_gateway_that_slept_gets_deltas_or_where_these_are_gone_the_document_in_pieces(monkeypatch):
-    monkeypatch.setattr(history, "HISTORY", 64)
+    monkeypatch.setattr(history, "MAX_HISTORY_REVISIONS", 64)
     long = check(b'{"n":0}', json.dumps({f"{n:05}": "x" * 20 for n in range(4000)}).encode())[0]
     net = Spread(3, 1, document=long)
     net.run(6)
@@ -257,49 +269,51 @@
             net.order("g0", Publish(number, b'{"n":%d}' % number))
         net.run(3)
         net.start("g2")
-        before = sum(part.pulls["pages"] for part in net.configuration.values())
+        before = sum(part.pull_counts["pages"] for part in net.configuration.values())
         net.run(3)
         assert net.same() and not net.faults()
-        told = sum(part.pulls["pages"] for part in net.configuration.values()) - before
+        told = sum(part.pull_counts["pages"] for part in net.configuration.values()) - before
         assert (told > 1) == bool(pages)
 
 
 def test_orders_are_refused_for_what_they_are():
     part = settled()
-    (told,) = part.take(1, Publish(1, b'{"n":1}'))
-    assert told == Ordered(1, False, "this gateway is not the publisher", part.head)
-    part.take(1, HeadHeard("a", 1, 2, 7))
-    assert "later revision" in part.take(1, TakeOver(2))[0].reason
+    (told,) = part.handle(1, Publish(1, b'{"n":1}'))
+    assert told == OrderAnswered(1, False, "this gateway is not the publisher", part.head)
+    part.handle(1, RevisionAnnounced("a", 1, 2, 7))
+    assert "later revision" in part.handle(1, TakeOver(2))[0].reason
     new = Revisions(fleet()["a"], check, random.Random(1), 2)
     new.begin(0)
-    assert "just started" in new.take(1, Publish(1, NOTHING))[0].reason
+    assert "just started" in new.handle(1, Publish(1, EMPTY_PATCH))[0].reason
 
 
 def gateway(world, name, part, members="abc"):
     """Give a gateway's two ways to the others, with `part` on them."""
     node, places = world.node(name), {each: (each, 7946) for each in members}
-    lines = PeerLines(node, name, 1, places, ["x" * 32], 30, None, (name, 7946))
-    met = Roster(node, name, 1, dict(places), ["x" * 32], (name, 7946), 1, lambda *_, **__: None)
-    lines.roster = met.called
+    lines = PeerTransport(node, name, 1, places, ["x" * 32], 30, None, (name, 7946))
+    met = MembershipTransport(node, name, 1, dict(places), ["x" * 32], (name, 7946), 1, lambda *_, **__: None)
+    lines.answer_gossip = met.handle_request
 
     def take(event):
-        do(part.take(node.now(), event))
+        do(part.handle(node.now(), event))
 
     def do(commands):
         for each in commands:
-            if isinstance(each, AskRevisions):
+            if isinstance(each, PullRevisions):
                 place = ("a", 7946) if isinstance(each.source, int) else each.source
-                lines.ask_revisions(place, each, take)
-            elif isinstance(each, Keep):
-                node.call_soon(take, Kept(each.number))
-            elif isinstance(each, InForce):
-                met.members.rumour.changed((each.head.term, each.head.number, each.head.mark))
-            elif isinstance(each, Wake):
-                node.call_at(each.at, take, Tick(each.at))
+                lines.request_revisions(place, each, take)
+            elif isinstance(each, WriteRevision):
+                node.call_soon(take, WriteFinished(each.number))
+            elif isinstance(each, ActiveRevision):
+                met.members.revision_gossip.set_head(
+                    (each.head.term, each.head.number, each.head.digest_prefix)
+                )
+            elif isinstance(each, ScheduleTimer):
+                node.call_at(each.at, take, TimerFired(each.at))
 
     if part is not None:
-        lines.revisions, met.heads = part.answer, take
-        met.members.rumour = Rumour(part.history.after)
+        lines.answer_revisions, met.on_revision_announced = part.answer, take
+        met.members.revision_gossip = RevisionGossip(part.history.deltas_after)
         do(part.begin(node.now()))
     return take, met
 
@@ -317,19 +331,22 @@
     world.run(world.time + 8 * SECOND)
     assert {parts[name].head for name in "abz"} == {NEXT}
     assert off.members.others["a"].revision is None and off.state()["members"]["b"]["stands"] == "heard"
-    assert parts["a", 1].state()["members"]["b"]["revision"] == f"1.2/{NEXT.mark:08x}"
+    assert parts["a", 1].state()["members"]["b"]["revision"] == f"1.2/{NEXT.digest_prefix:08x}"
     assert "revision" not in parts["a", 1].state()["members"]["c"]
 
 
 def test_words_without_a_head_are_the_bytes_of_before_and_both_kinds_are_read_by_both():
-    told = Kind.PING, "a", 1, 0, 1, 1
-    plain, headed = Word(*told), HeadedWord(*told, "", -1, (), "", 2, 3, 4)
+    told = GossipKind.PING, "a", 1, 0, 1, 1
+    plain, headed = GossipMessage(*told), GossipWithRevision(*told, "", -1, (), "", 2, 3, 4)
     encode, decode = msgspec.msgpack.encode, msgspec.msgpack.decode
     assert (
         encode(plain) == encode(list(msgspec.structs.astuple(plain)))
         and len(encode(headed)) == len(encode(plain)) + 3
     )
-    assert decode(encode(plain), type=HeadedWord).term == -1 and decode(encode(headed), type=Word) == plain
+    assert (
+        decode(encode(plain), type=GossipWithRevision).term == -1
+        and decode(encode(headed), type=GossipMessage) == plain
+    )
 
 
 def test_the_scale_run_gives_its_figures_and_refuses_a_fleet_without_regions():
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mintmast.http.client import ClientLimits, Fault, HttpClient
+from mintmast.http.client import ClientLimits, CallFailure, HttpClient
 from mintmast.http.server import HttpServer
 from mintmast.lab import drills
 from mintmast.lab.audit import Findings
@@ -14,7 +14,7 @@
 from mintmast.lab.links import Links
 from mintmast.lab.ports import Ports, own_address
 from mintmast.lab.views import MOST, SETTLED, views
-from mintmast.loop.memory import Way, World
+from mintmast.loop.memory import PathConditions, World
 from mintmast.loop.real import SelectorLoop
 
 SECOND = 1_000_000
@@ -74,7 +74,7 @@
         client = HttpClient(near, ClientLimits(connect_time=300_000))
         client.call(loops["to"], "POST", "/", replies.append, [], b"x" * 300, near.now() + 800_000)
         run(near.now() + SECOND)
-        told[name] = replies[0] if isinstance(replies[0], Fault) else replies[0].status
+        told[name] = replies[0] if isinstance(replies[0], CallFailure) else replies[0].status
     return told
 
 
@@ -82,15 +82,15 @@
     exchange_.respond(200, [], b"y" * 300)
 
 
-WAYS = {"plain": Way(), "late": Way(late=100_000), "cut": Way(cut=True), "swallows": Way(swallows=True),
-        "short": Way(short=1.0)}  # fmt: skip
+WAYS = {"plain": PathConditions(), "late": PathConditions(extra_delay=100_000), "cut": PathConditions(is_cut=True), "swallows": PathConditions(is_black_hole=True),
+        "short": PathConditions(truncation=1.0)}  # fmt: skip
 
 
 def test_the_ways_of_both_networks_are_alike():
     world = World(1)
     near, far = world.node("gw0"), world.node("gw1")
     HttpServer(far, "gw1", 80, answer)
-    put = partial(world.ways.__setitem__, ("gw1", "gw0"))
+    put = partial(world.path_conditions.__setitem__, ("gw1", "gw0"))
     memory = exchange({"to": ("gw1", 80)}, [(n, w, (near, world.run, put)) for n, w in WAYS.items()])
 
     loop = SelectorLoop()
@@ -104,14 +104,14 @@
         put = partial(links.ways.__setitem__, (1, 0))
         cases = [(n, w, (loop, loop.run, put)) for n, w in WAYS.items()]
         real = exchange({"to": (host, int(port))}, cases)
-        assert real["plain"] == real["late"] == 200 and real["cut"] is real["swallows"] is Fault.SILENT
-        assert isinstance(real["short"], Fault)
+        assert real["plain"] == real["late"] == 200 and real["cut"] is real["swallows"] is CallFailure.SILENT
+        assert isinstance(real["short"], CallFailure)
         plain = [name for name in WAYS if name != "cut"]  # a connection into a cut path opens on a link only
         assert [real[name] for name in plain] == [memory[name] for name in plain]
         links.listen(1, False)
-        put(Way())
-        refused = exchange({"to": (host, int(port))}, [("dead", Way(), (loop, loop.run, put))])
-        assert refused["dead"] is Fault.REFUSED
+        put(PathConditions())
+        refused = exchange({"to": (host, int(port))}, [("dead", PathConditions(), (loop, loop.run, put))])
+        assert refused["dead"] is CallFailure.REFUSED
         server.close()
     finally:
         links.close()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 
 from mintmast.cli import main
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.lab.crowd import SECOND
 from mintmast.lab.scale import answers, applying, fleet, page, slopes
 from mintmast.lab.scale.record import Row, load, made, save
@@ -314,16 +314,16 @@
     course.crowd.vanish(lost)
     watch = course.watch([lost], there=False)
     now = course.crowd.now
-    watch.saw(now + SECOND, one, lost, Proof.SILENT, 1)  # one observer's word is no knowledge
+    watch.saw(now + SECOND, one, lost, Liveness.SILENT, 1)  # one observer's word is no knowledge
     assert one in watch.waits
-    watch.saw(now + SECOND, one, lost, Proof.CONFIRMED, 1)
+    watch.saw(now + SECOND, one, lost, Liveness.CONFIRMED, 1)
     assert one not in watch.waits and len(watch.waits) == 14 and watch.seconds() == (1, fleet.PATIENCE)
     course.until(watch)
     assert not watch.waits and watch.seconds()[1] < 10
-    old = course.crowd.parts[one].others[lost].standing.start
+    old = course.crowd.parts[one].others[lost].status.generation
     course.crowd.start(lost)
     back = course.watch([lost], there=True)
-    back.saw(course.crowd.now, one, lost, Proof.HEARD, old)  # a late word of the life before
+    back.saw(course.crowd.now, one, lost, Liveness.HEARD, old)  # a late word of the life before
     assert one in back.waits and lost not in back.waits
     back.drop(one)  # it ended itself, and is waited for no more
     assert one not in back.waits and len(back.waits) == 14
--- a/tests/test_scale_peers.py
+++ b/tests/test_scale_peers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mintmast.decisions.gateways.standing import Proof
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.lab.scale.peers import rows
 from mintmast.lab.scale.proof import alone, hollow_run, real_run
 from mintmast.lab.scale.tapped import bench, names_of
@@ -49,24 +49,24 @@
 def test_fifty_are_believed_to_be_there_vote_and_one_that_ends_is_held_aside_and_known_again():
     made = bench(50, 2, claims=4.0)
     made.run(10.0)
-    part = made.gateway.core.book.claims.part
+    part = made.gateway.core.book.claims.witness_service
     stands = made.gateway.roster.members.others
-    assert part.voting and {each.proof for each in stands.values()} == {Proof.HEARD}
+    assert part.is_voting and {each.liveness for each in stands.values()} == {Liveness.HEARD}
     made.meter.clear()
     made.run(5.0)
     for way in ("sent", "received"):  # a probe and an answer each 500 ms where there is no news
         assert 15 <= made.meter.messages[f"udp.{way}"] <= 25
-    assert made.meter.calls["keys.witness"] and len(part.witness)
+    assert made.meter.calls["keys.witness"] and len(part.records)
     lost = names_of(50)[7]
     made.world.nodes[lost].kill()
     made.hollow.gone(7)
     made.run(4.0)
-    assert stands[lost].proof is Proof.REFUSED and made.hollow.counts["aside"] == 48
-    assert {lost} == set().union(*(other.held for other in part.covers.others.values()))
+    assert stands[lost].liveness is Liveness.REFUSED and made.hollow.counts["aside"] == 48
+    assert {lost} == set().union(*(other.excluded for other in part.exclusions.peers.values()))
     made.hollow.back(7, made.world.node(lost))
     made.run(4.0)
-    assert stands[lost].proof is Proof.HEARD and not made.hollow.counts.get("unanswered")
-    assert not any(other.held for other in part.covers.others.values())
+    assert stands[lost].liveness is Liveness.HEARD and not made.hollow.counts.get("unanswered")
+    assert not any(other.excluded for other in part.exclusions.peers.values())
 
 
 def test_a_run_gives_its_rows_and_says_what_the_schema_refuses():
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,6 +1,6 @@
 """Random legal event sequences: the rules and exactly one answer hold, whatever comes."""
 
-from helpers import T0, S, box, settings
+from helpers import T0, S, server_entry, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -36,11 +36,11 @@
         self.settings = settings(budget=api.AttemptBudget(20 * S, 2.0, 0.5))
         self.controller = Controller(self.settings, seed)
         self.now = T0
-        self.state = {box(n).server: ServerState.READY for n in range(4)}
+        self.state = {server_entry(n).server: ServerState.READY for n in range(4)}
         self.requests = {}  # ref -> dict(service, title, attempts, out, playing, answered, maybe)
         self.log = []
         self.do(api.Started())
-        self.do(api.ServerList(api.ListKind.CACHED, 1, tuple(box(n) for n in range(4))))
+        self.do(api.ServerList(api.ListKind.CACHED, 1, tuple(server_entry(n) for n in range(4))))
 
     def do(self, event):
         actions = self.controller.handle(self.now, event)
@@ -82,10 +82,12 @@
             r = self.requests[ref]
             assert r["answered"] or r["out"], "a request is sent or answered at once"
         elif what == "list":
-            server = box(a % 4)
+            server = server_entry(a % 4)
             state = list(ServerState)[b % 3]
             self.state[server.server] = state
-            self.do(api.ServerList(api.ListKind.DELTA, 2, (box(a % 4, state, self.now if b > 4 else 0),)))
+            self.do(
+                api.ServerList(api.ListKind.DELTA, 2, (server_entry(a % 4, state, self.now if b > 4 else 0),))
+            )
         elif what == "wait":
             self.now += (a + 1) * S // 4
         elif out:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -3,14 +3,14 @@
 from itertools import product
 
 import pytest
-from helpers import S, box
-from test_book import T0, ask, new_book, one, only
+from helpers import S, server_entry
+from test_book import T0, viewer_request, new_book, one, only
 
 from mintmast import interface as api
 from mintmast.decisions import messages as b
 from mintmast.decisions.outcomes import Evidence
 from mintmast.decisions.sessions import sessions
-from mintmast.decisions.sessions.sessions import Act, Signal, Stage, StepError, step
+from mintmast.decisions.sessions.sessions import Action, Signal, Stage, TransitionError, transition_for
 from mintmast.interface import ServerState
 
 # The model: one paid session, its gateway, two hosts A and B, and a network that loses, delays and duplicates
@@ -31,16 +31,16 @@
     def signal(kind, place=None, answer=False, leaves=True):
         """Apply a signal at the gateway; None if there is no transition for it."""
         try:
-            after, acts = step(stage, kind, free)
-        except StepError:
+            after, acts = transition_for(stage, kind, free)
+        except TransitionError:
             return None
         assert not (answer and answered), "a second answer"
         sent, out, more = set(net), epoch, set(owed)
         for act in acts:
-            if act is Act.SET_UP:
+            if act is Action.SET_UP:
                 out += 1
                 sent |= {("set-up", place, out), ("left", place, out)} if leaves else set()
-            elif act is Act.END:
+            elif act is Action.END:
                 for host in HOSTS:
                     if ("left", host, epoch) in net:
                         more.add((host, epoch))
@@ -104,7 +104,7 @@
             yield "host is back", (*state[:4], put(place, (True, 0, 0)), *state[5:])
 
 
-def walk(free):
+def explore(free):
     seen, front, steps = {start()}, [start()], 0
     while front:
         state = front.pop()
@@ -127,8 +127,8 @@
 
 
 @pytest.mark.parametrize("free", [False, True])
-def test_every_state_of_a_session_charges_once_answers_once_and_leaves_nothing_behind(free):
-    seen, steps = walk(free)
+def test_every_state_charges_once_answers_once_and_leaves_no_session_at_a_host(free):
+    seen, steps = explore(free)
     print(f"{len(seen)} states, {steps} steps")
     stages = {state[0] for state in seen}
     assert stages == set(Stage) - ({Stage.SPENT} if free else set()) and len(seen) > 300
@@ -137,57 +137,61 @@
 @pytest.mark.parametrize(
     "wrong",
     [
-        {(Stage.OUT, Signal.MAY_HAVE_RUN): (Stage.ASKED, (Act.END,))},
-        {(Stage.OUT, Signal.CALLED_OFF): (Stage.OVER, (Act.CALL_OFF,))},
-        {(Stage.SPENT, Signal.SENT): (Stage.OUT, (Act.SET_UP,))},
+        {(Stage.OUT, Signal.MAY_HAVE_RUN): (Stage.ASKED, (Action.END,))},
+        {(Stage.OUT, Signal.CALLED_OFF): (Stage.OVER, (Action.CALL_OFF,))},
+        {(Stage.SPENT, Signal.SENT): (Stage.OUT, (Action.SET_UP,))},
     ],
     ids=["a spent session is sent again", "called off without an end", "spent is as good as new"],
 )
-def test_the_model_finds_a_wrong_table(monkeypatch, wrong):
-    monkeypatch.setattr(sessions, "TABLE", {**sessions.TABLE, **wrong})
+def test_model_check_detects_wrong_transitions(monkeypatch, wrong):
+    monkeypatch.setattr(sessions, "TRANSITIONS", {**sessions.TRANSITIONS, **wrong})
     with pytest.raises(AssertionError, match="charged twice|left there"):
-        walk(free=False)
+        explore(free=False)
 
 
-def test_what_the_table_does_not_know_is_an_error_of_the_program_and_never_a_second_set_up():
-    known = set(sessions.TABLE)
+def test_signal_without_a_transition_is_an_error_and_never_a_second_set_up():
+    known = set(sessions.TRANSITIONS)
     for stage, signal in product(Stage, Signal):
         if (stage, signal) not in known:
-            with pytest.raises(StepError):
-                step(stage, signal, free=False)
+            with pytest.raises(TransitionError):
+                transition_for(stage, signal, is_free=False)
     book = new_book()
-    sent = one(book.take(T0, ask(1, key="k")), b.SendSetUp)
+    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
     session = book.sessions.get(sent.session)
-    with pytest.raises(StepError):
-        book.send(T0, session, sent.server, 0)
+    with pytest.raises(TransitionError):
+        book.send_set_up(T0, session, sent.server, 0)
 
 
-def test_a_refusal_of_what_may_have_run_is_told_as_a_failure():
+def test_refusal_of_a_session_that_may_have_run_is_answered_as_a_failure():
     """The outcome table, not the module, decides whether a session provably never ran."""
     book = new_book()
-    sent = one(book.take(T0, ask(1, key="k")), b.SendSetUp)
-    decide = book.acts._decide
-    book.acts._decide = lambda now, event: (
+    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
+    decide = book.actions._handle_module_event
+    book.actions._handle_module_event = lambda now, event: (
         [api.Refuse(sent.session, S)] if isinstance(event, api.AttemptEnd) else decide(now, event)
     )
-    after = book.take(T0 + 1, b.SetUpEnded(sent.session, 0, Evidence.CUT))
-    assert one(after, b.Give).verdict is b.Verdict.FAILED
+    after = book.handle(T0 + 1, b.SetUpEnded(sent.session, 0, Evidence.CUT))
+    assert one(after, b.AnswerRequest).verdict is b.Verdict.FAILED
 
 
-def test_a_session_on_a_host_that_left_the_list_while_it_plays_is_moved_and_a_paid_one_stays():
+def test_free_session_is_moved_off_a_host_that_left_the_list_and_a_paid_one_stays():
     book = new_book()
     polls = {}
     for service in (0, 1):
         number = service + 1
-        sent = one(book.take(T0, b.Ask(number, service, 0, 5, 0, 4, 3, 2 * S, "", 60 * S)), b.SendSetUp)
-        book.take(T0 + 1, b.HostHello(sent.server, "p", None, False, T0))
-        book.take(T0 + 1000, b.SetUpEnded(sent.session, 0, Evidence.STARTED, b.Told((), T0 + 900)))
+        sent = one(
+            book.handle(T0, b.ViewerRequest(number, service, 0, 5, 0, 4, 3, 2 * S, "", 60 * S)), b.SendSetUp
+        )
+        book.handle(T0 + 1, b.HostConnected(sent.server, "p", None, False, T0))
+        book.handle(T0 + 1000, b.SetUpEnded(sent.session, 0, Evidence.STARTED, b.HostStatus((), T0 + 900)))
         polls[service] = sent
     gone = tuple(
-        box(n, ServerState.GONE) for n in range(4) if box(n).server in {s.server for s in polls.values()}
+        server_entry(n, ServerState.GONE)
+        for n in range(4)
+        if server_entry(n).server in {s.server for s in polls.values()}
     )
-    book.take(T0 + S, b.ListNews(api.ListKind.DELTA, 2, gone))
-    paid = book.take(T0 + 2 * S, b.Poll(1, polls[0].session, 9 * S, S))
-    assert one(paid, b.Steer).server == polls[0].server and not only(paid, b.SendRenew)
-    free = book.take(T0 + 2 * S, b.Poll(2, polls[1].session, 9 * S, S))
-    assert not only(free, b.Steer) and len(one(free, b.SendRenew).sessions) == 1  # shortens the lease
+    book.handle(T0 + S, b.ServerListUpdate(api.ListKind.DELTA, 2, gone))
+    paid = book.handle(T0 + 2 * S, b.Poll(1, polls[0].session, 9 * S, S))
+    assert one(paid, b.AnswerPoll).server == polls[0].server and not only(paid, b.SendRenewal)
+    free = book.handle(T0 + 2 * S, b.Poll(2, polls[1].session, 9 * S, S))
+    assert not only(free, b.AnswerPoll) and len(one(free, b.SendRenewal).sessions) == 1  # shortens the lease
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -29,7 +29,7 @@
     def __init__(self, fleet, number, of, seed):
         self.fleet, self.number, self.seed = fleet, number, seed
         self.settings = settings(
-            instance=number, instances=of, cold=COLD, cold_from=FROM, fall=FALL, fall_multiple=MULTIPLE,
+            instance=number, instances=of, warm_up=COLD, warm_up_from=FROM, overload_window=FALL, overload_factor=MULTIPLE,
             kind_streams=(STREAMS,), cells=0, links_kb=1e9, weight_kb=1e9, connect_time=CONNECT,
         )  # fmt: skip
         self.lives = 0
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -3,13 +3,13 @@
 import json
 import time
 
-from platform_world import SETTINGS, entry, news, play, set_up
-from test_node_process import config, free_port, start, until
+from platform_world import SETTINGS, host_entry, list_event, play, set_up
+from test_node_process import write_config, free_port, start_process, wait_for_event
 
 from mintmast.loop import Handler
 from mintmast.loop.real import SelectorLoop
 from mintmast.signalling import messages
-from mintmast.signalling.messages import Kind, Reader
+from mintmast.signalling.messages import MessageKind, MessageReader
 
 # A set-up may leave a second after it was decided, as long as a connection may take here: load on the machine
 # changes nothing. N is 11.25 at the beginning, in a window of 3 s.
@@ -25,16 +25,16 @@
     name = "a"
 
     def __init__(self, loop, sends):
-        self.loop, self.sends, self.reader = loop, sends, Reader()
+        self.loop, self.sends, self.reader = loop, sends, MessageReader()
 
     def opened(self, stream):
         self.stream = stream
 
     def received(self, data):
         for message in self.reader.feed(data):
-            if message.kind == Kind.TEST:
-                self.stream.write(messages.tested(message.call, True))
-            elif message.kind == Kind.SET_UP:
+            if message.kind == MessageKind.HEALTH_CHECK:
+                self.stream.write(messages.encode_health_check_reply(message.call_id, True))
+            elif message.kind == MessageKind.SET_UP:
                 self.sends.append(self.loop.now())
                 play(self, self, message)
 
@@ -42,8 +42,8 @@
 def test_gateways_that_are_killed_and_start_again_send_no_more_than_a_cold_host_bears(tmp_path):
     loop, sends, number = SelectorLoop(), [], 0
     host = loop.listen("127.0.0.1", 0, lambda: Host(loop, sends))
-    listed = entry("a", addr=f"127.0.0.1:{host.port}", started=int(time.time() * 1000))
-    known = {"seq": 1, "results": [news(1, listed, full=True)]}
+    listed = host_entry("a", addr=f"127.0.0.1:{host.port}", started=int(time.time() * 1000))
+    known = {"seq": 1, "results": [list_event(1, listed, full=True)]}
     ports = [free_port() for _ in range(COUNT)]
     paths = []
     for me, port in enumerate(ports):
@@ -51,11 +51,11 @@
         caps = SETTINGS["caps"] | {"connectTimeout": CONNECT}
         told = {"me": me, "nInstances": COUNT, "invariants": PACE, "familyInfo": family, "caps": caps}
         path = tmp_path / f"{me}.json"
-        paths.append(config(path, port, known=known, settings=SETTINGS | told))
-    processes = [start(path) for path in paths]
+        paths.append(write_config(path, port, known=known, settings=SETTINGS | told))
+    processes = [start_process(path) for path in paths]
     try:
         for process in processes:
-            until(process, "serving")
+            wait_for_event(process, "serving")
         begin, killed = loop.now(), False
         while (now := loop.now()) < begin + PLAYED:
             for port in ports:
@@ -69,7 +69,7 @@
                 for process in processes:
                     process.kill()
                     process.wait()
-                processes = [start(path) for path in paths]
+                processes = [start_process(path) for path in paths]
         assert killed
         most = max(sum(1 for at in sends if first <= at <= first + FALL) for first in sends)
         assert most <= BUDGET + 2 * BUDGET**0.5 + 2, json.dumps(sends)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,20 +17,20 @@
 from world import SECOND
 
 from mintmast.cli import main
-from mintmast.decisions.gateways import talk
+from mintmast.decisions.gateways import claim_messages
 from mintmast.decisions.gateways.claims import Claims
 from mintmast.decisions.gateways.records import (
     Grant,
     Intent,
-    Kept,
-    Kind,
-    Write,
-    Written,
-    next_life,
-    recover,
+    StoredRecord,
+    RecordKind,
+    WriteRecords,
+    RecordsWritten,
+    next_generation,
+    recover_state,
 )
-from mintmast.decisions.gateways.standing import Proof
-from mintmast.decisions.gateways.talk import Vote
+from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.gateways.claim_messages import Vote
 from mintmast.lab import drills
 from mintmast.lab.drills.day import Day, model
 from mintmast.lab.drills.day import settings as day_settings
@@ -39,11 +39,11 @@
 from mintmast.store import Engine, StoreError, StoreLine, open_store
 from mintmast.store import line as line_module
 
-KINDS = st.sampled_from([*(kind.value for kind in Kind), "odd"])
+KINDS = st.sampled_from([*(kind.value for kind in RecordKind), "odd"])
 
 
 def kept(key, value=b"v", kind="grant"):
-    return Kept(kind, key, value)
+    return StoredRecord(kind, key, value)
 
 
 def state(engine):
@@ -136,7 +136,7 @@
         there = {(row.kind, row.key): row.value for row in rows}
         whole_before = [told for end, told in ends if end <= at]
         # in the last commit it cannot be told from a torn one, whose writer had heard nothing
-        doubtful = bool(recover(rows).faults) and any(row.kind == "log" for row in rows)
+        doubtful = bool(recover_state(rows).faults) and any(row.kind == "log" for row in rows)
         assert there == last or doubtful or whole_before[-1] == ends[-3][1], at
         noticed += doubtful
     assert noticed > 10
@@ -161,7 +161,7 @@
     end = time.monotonic() + 30
     for value in (b"x" * 3000, None):
         rows = tuple(kept(f"k{n}", value) for n in range(1500))
-        line.write(Write(rows, 1))
+        line.write(WriteRecords(rows, 1))
         while not (line.size[0] > 4_000_000 if value else 0 < line.size[0] < 1_000_000):
             assert time.monotonic() < end, line.size
             loop.run(loop.now() + 20_000)
@@ -187,7 +187,7 @@
     db.commit()
     db.close()
     with closing(Engine(str(path), "gw0")) as engine:
-        assert recover(engine.rows()).life == 7
+        assert recover_state(engine.rows()).generation == 7
         engine.write([kept("new", kind="intent")])
         engine.compact()
         assert engine._db.execute("PRAGMA user_version").fetchone() == (2,) and len(state(engine)) == 2
@@ -222,10 +222,10 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.builds(Kept, KINDS, st.text(), st.binary() | st.none())))
+@given(st.lists(st.builds(StoredRecord, KINDS, st.text(), st.binary() | st.none())))
 def test_odd_records_make_the_whole_doubtful_and_never_a_crash(rows):
-    found = recover(rows)
-    assert not found.whole or not found.faults
+    found = recover_state(rows)
+    assert not found.is_complete or not found.faults
 
 
 def test_a_start_is_never_given_twice_whatever_the_clock_says(tmp_path):
@@ -235,7 +235,7 @@
         starts.append(opened.start)
         opened.sock.close()
         opened.process.wait()
-    assert starts == sorted(set(starts)) and starts[0] == 5000 and next_life(7, 0) == 7
+    assert starts == sorted(set(starts)) and starts[0] == 5000 and next_generation(7, 0) == 7
     opened = open_store(path, "gw0", 1)
     with pytest.raises(StoreError, match="locked"):
         open_store(path, "gw0", 1)
@@ -246,9 +246,9 @@
 def test_a_start_that_reads_for_long_is_not_led_astray_by_what_the_writer_tells(tmp_path, monkeypatch):
     def slowly(rows):
         time.sleep(0.8)  # longer than the writer waits before it tells its size
-        return recover(rows)
+        return recover_state(rows)
 
-    monkeypatch.setattr(line_module, "recover", slowly)
+    monkeypatch.setattr(line_module, "recover_state", slowly)
     opened = open_store(str(tmp_path / "a.store"), "gw0", 5)
     assert opened.start == 5
     opened.sock.close()
@@ -267,22 +267,22 @@
             assert time.monotonic() < end
             loop.run(loop.now() + 20_000)
 
-    line.write(Write((kept("a"),), 1))
-    until(lambda: ends == [Written(1, True)])
+    line.write(WriteRecords((kept("a"),), 1))
+    until(lambda: ends == [RecordsWritten(1, True)])
     line._opened.process.send_signal(signal.SIGSTOP)
-    line.write(Write((kept("b"),), 2))
+    line.write(WriteRecords((kept("b"),), 2))
     line._opened.process.send_signal(signal.SIGKILL)
-    until(lambda: ends[1:] == [Written(2, False)])
+    until(lambda: ends[1:] == [RecordsWritten(2, False)])
     assert "store_fails" in said and line.failing
-    line.write(Write((kept("c"),), 3))
-    until(lambda: ends[2:] == [Written(3, False)])
+    line.write(WriteRecords((kept("c"),), 3))
+    until(lambda: ends[2:] == [RecordsWritten(3, False)])
     until(lambda: line._stream is not None)
     line._unanswered = 10**6  # a disk that stands for seconds
-    line.write(Write((kept("e"),), 5))
-    until(lambda: ends[3:] == [Written(5, False)])
+    line.write(WriteRecords((kept("e"),), 5))
+    until(lambda: ends[3:] == [RecordsWritten(5, False)])
     line._unanswered = 0
-    line.write(Write((kept("d"),), 4))
-    until(lambda: ends[4:] == [Written(4, True)])
+    line.write(WriteRecords((kept("d"),), 4))
+    until(lambda: ends[4:] == [RecordsWritten(4, True)])
     assert said[-1] == "store_writes_again" and not line.failing
     line.close()
     until(lambda: line._opened.process.poll() is not None)
@@ -297,35 +297,39 @@
 def witness_of(rows=(), start=50):
     out = []
     claims = Claims("g0", start, ("g0", "g1", "g2"), out.append, lambda *told: None)
-    claims.part.begin_learning(0, recover(rows))
+    claims.witness_service.start(0, recover_state(rows))
     for peer in ("g1", "g2"):
-        claims.part.stands(0, talk.PeerStands(peer, Proof.HEARD, 5))
-    claims.part.learn(0)
-    return claims.part, out
+        claims.witness_service.handle_peer_status(
+            0, claim_messages.PeerStatusChanged(peer, Liveness.HEARD, 5)
+        )
+    claims.witness_service.handle_review_timer(0)
+    return claims.witness_service, out
 
 
 def answers(part, out, before=0):
     """Let the other two answer what they are asked, knowing of a start before this one."""
-    for ask in [each for each in out if isinstance(each, talk.SendLearn)]:
+    for ask in [each for each in out if isinstance(each, claim_messages.SendLearnRequest)]:
         out.remove(ask)
-        told = talk.Learnt(ask.peer, number=ask.number, start=5, before=before)
-        part.learnt(0, told)
+        told = claim_messages.LearnReply(
+            ask.peer, number=ask.number, generation=5, previous_generation=before
+        )
+        part.handle_learn_reply(0, told)
 
 
 def rows_of(out):
-    return [each for write in out if isinstance(write, Write) for each in write.records]
+    return [each for write in out if isinstance(write, WriteRecords) for each in write.records]
 
 
 def test_a_vote_is_told_when_it_is_durable_and_never_where_it_may_be_lost():
     part, out = witness_of()
     answers(part, out)
     for call, good in ((1, True), (2, False)):
-        part.called(0, talk.PeerCall(call, "g1/5", f"key{call}", 1, 3600 * SECOND))
-        write = next(each for each in out if isinstance(each, Write) and each.token)
+        part.handle_call(0, claim_messages.PeerCall(call, "g1/5", f"key{call}", 1, 3600 * SECOND))
+        write = next(each for each in out if isinstance(each, WriteRecords) and each.token)
         out.remove(write)
-        assert not [each for each in out if isinstance(each, talk.PeerReply)]
-        part.keeper.written(0, Written(write.token, good))
-        reply = next(each for each in out if isinstance(each, talk.PeerReply))
+        assert not [each for each in out if isinstance(each, claim_messages.PeerReply)]
+        part.record_writer.handle_written(0, RecordsWritten(write.token, good))
+        reply = next(each for each in out if isinstance(each, claim_messages.PeerReply))
         out.remove(reply)
         assert reply.vote is (Vote.GRANTED if good else Vote.NONE)
 
@@ -333,55 +337,57 @@
 def test_a_start_with_whole_records_votes_by_them_and_one_with_old_ones_asks_all():
     part, out = witness_of()
     answers(part, out)
-    assert part.voting
-    part.called(0, talk.PeerCall(1, "g1/5", "key", 1, 3600 * SECOND))
-    rows = [Kept("life", "", b"\x32"), *rows_of(out)]
-    assert any(row.kind == "whole" for row in rows) and recover(rows).whole
+    assert part.is_voting
+    part.handle_call(0, claim_messages.PeerCall(1, "g1/5", "key", 1, 3600 * SECOND))
+    rows = [StoredRecord("life", "", b"\x32"), *rows_of(out)]
+    assert any(row.kind == "whole" for row in rows) and recover_state(rows).is_complete
     again, out = witness_of(rows, start=60)
-    assert not again.voting  # nobody has told yet that no later life was seen
+    assert not again.is_voting  # nobody has told yet that no later life was seen
     answers(again, out, before=50)
-    assert again.voting
-    again.called(0, talk.PeerCall(2, "g2/5", "key", 1, 3600 * SECOND))
-    assert next(each for each in out if isinstance(each, talk.PeerReply)).vote is Vote.HELD
+    assert again.is_voting
+    again.handle_call(0, claim_messages.PeerCall(2, "g2/5", "key", 1, 3600 * SECOND))
+    assert next(each for each in out if isinstance(each, claim_messages.PeerReply)).vote is Vote.HELD
     old, out = witness_of(rows, start=70)
     answers(old, out, before=60)
-    assert not old.voting and any(getattr(each, "event", "") == "records_old" for each in out)
-    assert Kept("whole", "", None) in rows_of(out)
-    old.learn(
+    assert not old.is_voting and any(getattr(each, "event", "") == "records_old" for each in out)
+    assert StoredRecord("whole", "", None) in rows_of(out)
+    old.handle_review_timer(
         SECOND // 4
     )  # a look that was due before: claims of the life that is not known may be under way
-    assert not old.covers.begun
-    old.learn(SECOND // 2)
-    assert old.covers.begun
-    old.called(0, talk.PeerCall(3, "g2/5", "other", 1, 3600 * SECOND))
-    assert next(each for each in out if isinstance(each, talk.PeerReply)).vote is Vote.NONE
+    assert not old.exclusions.earlier_claims_settled
+    old.handle_review_timer(SECOND // 2)
+    assert old.exclusions.earlier_claims_settled
+    old.handle_call(0, claim_messages.PeerCall(3, "g2/5", "other", 1, 3600 * SECOND))
+    assert next(each for each in out if isinstance(each, claim_messages.PeerReply)).vote is Vote.NONE
 
 
 def test_a_later_life_that_one_other_gateway_met_is_heard_of_before_any_vote():
     part, out = witness_of()
     answers(part, out)
-    rows = [Kept("life", "", b"\x32"), *rows_of(out)]
+    rows = [StoredRecord("life", "", b"\x32"), *rows_of(out)]
     old, out = witness_of(rows, start=70)  # a backup: a life of number 60 was met by g2 alone
-    asks = {each.peer: each for each in out if isinstance(each, talk.SendLearn)}
-    old.learnt(0, talk.Learnt("g1", number=asks["g1"].number, start=5))
-    old.called(0, talk.PeerCall(1, "g1/5", "key", 1, 3600 * SECOND))
-    assert next(each for each in out if isinstance(each, talk.PeerReply)).vote is Vote.NONE
-    assert not old.voting
-    old.learnt(0, talk.Learnt("g2", number=asks["g2"].number, start=5, before=60))
+    asks = {each.peer: each for each in out if isinstance(each, claim_messages.SendLearnRequest)}
+    old.handle_learn_reply(0, claim_messages.LearnReply("g1", number=asks["g1"].number, generation=5))
+    old.handle_call(0, claim_messages.PeerCall(1, "g1/5", "key", 1, 3600 * SECOND))
+    assert next(each for each in out if isinstance(each, claim_messages.PeerReply)).vote is Vote.NONE
+    assert not old.is_voting
+    old.handle_learn_reply(
+        0, claim_messages.LearnReply("g2", number=asks["g2"].number, generation=5, previous_generation=60)
+    )
     assert any(getattr(each, "event", "") == "records_old" for each in out)
 
 
 def test_a_record_is_kept_for_as_long_as_gateways_of_its_name_ran():
     hour = 3600 * SECOND
     part, out = witness_of()
-    part.keeper.begin(0, 7 * hour)
-    part.keeper.keep(0, Kind.CLOCK, "", 7 * hour)
+    part.record_writer.start(0, 7 * hour)
+    part.record_writer.save(0, RecordKind.CLOCK, "", 7 * hour)
     answers(part, out)
-    part.called(0, talk.PeerCall(1, "g1/5", "key", 1, hour))
-    found = recover(rows_of(out))
-    assert found.grants["key"][1] == hour and found.ran == 7 * hour
-    later = [*rows_of(out), Kept("clock", "", b"\xcf" + (9 * hour).to_bytes(8))]
-    assert "key" not in recover(later).grants
+    part.handle_call(0, claim_messages.PeerCall(1, "g1/5", "key", 1, hour))
+    found = recover_state(rows_of(out))
+    assert found.grants["key"][1] == hour and found.runtime == 7 * hour
+    later = [*rows_of(out), StoredRecord("clock", "", b"\xcf" + (9 * hour).to_bytes(8))]
+    assert "key" not in recover_state(later).grants
 
 
 # Deaths
@@ -423,7 +429,7 @@
         stage.start_gateway(1, wall_shift=-600.0)
         stage.run(15)
         part = stage.gateways[1].roster.members
-        assert bool(part.condemned) is not stores
+        assert bool(part.disqualified_reason) is not stores
     finally:
         stage.close()
 
@@ -432,7 +438,9 @@
     path = str(tmp_path / "a.store")
     engine = Engine(path, "gw0")
     grant = Grant("gw1/5", 3, 10**12)
-    engine.write([Kept("grant", "d", msgspec.msgpack.encode(grant)), Kept("life", "", b"\x07")])
+    engine.write(
+        [StoredRecord("grant", "d", msgspec.msgpack.encode(grant)), StoredRecord("life", "", b"\x07")]
+    )
     run = CliRunner().invoke
     assert "locked" in run(main, ["store", "compact", path]).stderr
     engine.close()
@@ -441,7 +449,7 @@
     assert '"owner":"gw1/5"' in run(main, ["store", "export", path]).stdout
     intent = Intent(10**12, "k", "gw0-7-1", "h:1", 3, 5, 1, "paid", "one", "t5", 3, 9, 0, 4, False)
     with closing(Engine(path, "gw0")) as again:
-        again.write([Kept("intent", "d", msgspec.msgpack.encode(intent))])
+        again.write([StoredRecord("intent", "d", msgspec.msgpack.encode(intent))])
     assert '"server":"h:1"' in run(main, ["store", "export", path]).stdout
     assert "asks hosts after: 1" in run(main, ["store", "inspect", path]).stdout
     assert [run(main, ["store", what, path]).exit_code for what in ("verify", "compact")] == [0, 0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -57,7 +57,7 @@
     ("03fc 00000003 0e6f2b19", api.Move(0x0E6F2B19)),
     ("046a 00000003 0a9011f2 1b84", api.Probe(bytes.fromhex("0a9011f21b84"))),
     ("03e8 00000003 0a9011f2 1b84", api.CloseIdle(bytes.fromhex("0a9011f21b84"))),
-    ("0456 00000003 ffffffff 0004 68692037", api.TellPeers(b"hi 7")),
+    ("0456 00000003 ffffffff 0004 68692037", api.SendToPeers(b"hi 7")),
     ("044c 00000003 5d3a91c4 02", api.SetRung(0x5D3A91C4, 2)),
     ("0410 00000003 0011 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
 ]
