--- a/mintmast/cli/operate.py
+++ b/mintmast/cli/operate.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.loop.real import SelectorLoop
 
 SECOND = 1_000_000
--- a/mintmast/decisions/gateways/gossip_messages.py
+++ b/mintmast/decisions/gateways/gossip_messages.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.member_status import MemberState, MemberStatus
 from mintmast.decisions.gateways.revision_types import Delta
-from mintmast.decisions.gateways.member_status import MemberStatus, MemberState
 
 # news in one word: with names of 64 bytes still one datagram of 1,200, which every path takes whole
 MAX_UPDATES = 11
--- a/mintmast/decisions/gateways/members.py
+++ b/mintmast/decisions/gateways/members.py
@@ -16,44 +16,44 @@
 from collections import deque
 from dataclasses import dataclass, replace
 
-from mintmast.decisions.gateways.revision_types import RevisionAnnounced
+from mintmast.decisions.gateways.gossip_messages import (
+    MAX_UPDATES,
+    GossipKind,
+    GossipMessage,
+    GossipWithDeltas,
+    GossipWithDigest,
+    MemberUpdate,
+    hash_status,
+    revision_summary_of,
+)
+from mintmast.decisions.gateways.member_status import (
+    MEMBER_POLICIES,
+    Liveness,
+    MemberPolicy,
+    MemberState,
+    MemberStatus,
+    apply_refusal,
+    count_live,
+    merge_status,
+    refute,
+)
 from mintmast.decisions.gateways.membership_types import (
-    MemberChanged,
     Command,
+    ConnectionRefused,
     Event,
     ForgetMember,
     GossipReceived,
     Member,
+    MemberChanged,
     MemberMoved,
     OperatorNotice,
-    ConnectionRefused,
+    PathState,
+    ScheduleTimer,
     SendGossip,
     TimerFired,
-    ScheduleTimer,
-    PathState,
 )
 from mintmast.decisions.gateways.revision_gossip import RevisionGossip
-from mintmast.decisions.gateways.member_status import (
-    MEMBER_POLICIES,
-    MemberPolicy,
-    Liveness,
-    MemberStatus,
-    MemberState,
-    count_live,
-    merge_status,
-    apply_refusal,
-    refute,
-)
-from mintmast.decisions.gateways.gossip_messages import (
-    MAX_UPDATES,
-    GossipWithDeltas,
-    GossipKind,
-    MemberUpdate,
-    GossipWithDigest,
-    GossipMessage,
-    revision_summary_of,
-    hash_status,
-)
+from mintmast.decisions.gateways.revision_types import RevisionAnnounced
 
 MS, SECOND = 1000, 1_000_000
 # µs that a probe has in all, first itself and then through others; half a second finds a loss within the time
--- a/mintmast/decisions/gateways/publisher.py
+++ b/mintmast/decisions/gateways/publisher.py
@@ -5,7 +5,7 @@
 import random
 from collections import deque
 
-from mintmast.decisions.gateways.revision_types import MAX_NUMBER, EMPTY_PATCH, Publish, TakeOver
+from mintmast.decisions.gateways.revision_types import EMPTY_PATCH, MAX_NUMBER, Publish, TakeOver
 
 Order = Publish | TakeOver
 
--- a/mintmast/gateway.py
+++ b/mintmast/gateway.py
@@ -14,15 +14,15 @@
 from mintmast.core import Core
 from mintmast.core.ports import StorePort
 from mintmast.decide import Controller
-from mintmast.decisions.gateways.records import RecoveredState, RecordsWritten
 from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.gateways.records import RecordsWritten, RecoveredState
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.fronts.dash import DashFront
 from mintmast.hosts.media import MediaHosts
 from mintmast.http.client import ClientLimits
 from mintmast.http.server import Exchange, HttpServer
 from mintmast.loop import Loop
-from mintmast.peers import PeerTransport, MembershipTransport, parse_address
+from mintmast.peers import MembershipTransport, PeerTransport, parse_address
 from mintmast.sources.eureka import Registration
 from mintmast.sources.fixed import FixedList, SavedList
 from mintmast.sources.merged import MergedList
--- a/mintmast/hosts/media.py
+++ b/mintmast/hosts/media.py
@@ -13,7 +13,7 @@
 from mintmast.decisions.messages import NO_STATUS, HostStatus
 from mintmast.decisions.outcomes import Evidence, HostReport, may_have_run
 from mintmast.hosts.protocol import CLOCK, LOAD, NEVER_RAN, read_load
-from mintmast.http.client import DEFAULT_LIMITS, Address, Call, ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import DEFAULT_LIMITS, Address, Call, CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.events import EventReader
 from mintmast.http.server import Headers
 from mintmast.interface import NoteKind
--- a/mintmast/lab/crowd.py
+++ b/mintmast/lab/crowd.py
@@ -14,18 +14,18 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 from mintmast.decisions.gateways.members import Members
 from mintmast.decisions.gateways.membership_types import (
-    MemberChanged,
+    ConnectionRefused,
     GossipReceived,
     Member,
+    MemberChanged,
     OperatorNotice,
-    ConnectionRefused,
+    ScheduleTimer,
     SendGossip,
     TimerFired,
-    ScheduleTimer,
 )
-from mintmast.decisions.gateways.member_status import MEMBER_POLICIES, Liveness
 
 SECOND = 1_000_000
 # bytes beside a word's own: version, seal and what IP and UDP take
--- a/mintmast/lab/revisionwalk.py
+++ b/mintmast/lab/revisionwalk.py
@@ -15,26 +15,26 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.revision_gossip import MAX_DELTA_BYTES
 from mintmast.decisions.gateways.revision_types import (
     EMPTY_PATCH,
-    PullRevisions,
+    ActiveRevision,
     Command,
     Event,
-    RevisionId,
-    RevisionAnnounced,
-    ActiveRevision,
-    WriteRevision,
-    WriteFinished,
     Publish,
-    PullSucceeded,
     PullFailed,
+    PullRevisions,
+    PullSucceeded,
+    RevisionAnnounced,
+    RevisionId,
     RevisionRequest,
     Stored,
     TakeOver,
+    WriteFinished,
+    WriteRevision,
     digest_of,
 )
 from mintmast.decisions.gateways.revisions import Revisions
-from mintmast.decisions.gateways.revision_gossip import MAX_DELTA_BYTES
 from mintmast.lab.spread import FIRST, check
 
 Step = tuple[Any, ...]
@@ -220,7 +220,8 @@
         p = self.parts[name]
         near, keeping, publisher = p._region_pull, p._pending_write, p.publisher
         self.keys[name] = hash((
-            p.head, publisher.term, publisher.highest_term, p._pull_number, p._write_number, p.is_settled, p._startup.heard_any, p._needs_document,
+            p.head, publisher.term, publisher.highest_term, p._pull_number, p._write_number,
+            p.is_settled, p._startup.heard_any, p._needs_document,
             near and (near.call, near.source, near.since), keeping and (keeping.head, keeping.publisher_term),
             tuple(p._senders._announced.items()), p.history.base, tuple(p.history.deltas),
             tuple(self.disks[name]), name in self.kept, self.force.get(name),
--- a/mintmast/lab/scale/hollow.py
+++ b/mintmast/lab/scale/hollow.py
@@ -30,19 +30,27 @@
 
 import msgspec
 
+from mintmast.decisions.gateways.claim_messages import KnownClaim, Vote
+from mintmast.decisions.gateways.gossip_messages import (
+    MAX_UPDATES,
+    GossipKind,
+    GossipMessage,
+    GossipWithDigest,
+    MemberUpdate,
+    hash_status,
+)
+from mintmast.decisions.gateways.member_status import MemberState
 from mintmast.decisions.gateways.members import (
     AGREEING_MESSAGES,
-    PROBE_TIMEOUT_US,
     DIVERGENCE_US,
     INDIRECT_PROBES,
-    NO_REVISION,
-    PROBE_PERIOD_US,
     LOST_PROBE_INTERVAL,
     LOST_PROBES_PER_PERIOD,
+    NO_REVISION,
+    PROBE_PERIOD_US,
+    PROBE_TIMEOUT_US,
     RETRANSMIT_FACTOR,
 )
-from mintmast.decisions.gateways.member_status import MemberState
-from mintmast.decisions.gateways.claim_messages import KnownClaim, Vote
 from mintmast.decisions.gateways.witness import (
     RECORD_RETENTION_US,
     RECORDS_PER_PAGE,
@@ -50,24 +58,16 @@
     select_witnesses,
 )
 from mintmast.decisions.gateways.witness_service import (
-    MAX_UNPACED_MEMBERS,
     CLAIM_TIMEOUT_US,
+    MAX_UNPACED_MEMBERS,
     REVIEW_US_PER_PAIR,
 )
-from mintmast.decisions.gateways.gossip_messages import (
-    MAX_UPDATES,
-    GossipKind,
-    MemberUpdate,
-    GossipWithDigest,
-    GossipMessage,
-    hash_status,
-)
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import Exchange, HttpServer
 from mintmast.lab.scale.hollow_row import Change, Row, Seals
 from mintmast.loop import Loop
 from mintmast.peers import membership_transport
-from mintmast.peers.transport import MAC_HEADER, PATH, ReplyBody, CallBody, PeerTransport
+from mintmast.peers.transport import MAC_HEADER, PATH, CallBody, PeerTransport, ReplyBody
 
 SECOND = 1_000_000
 # words that one gateway sends a second, about, while there is news and while there is none: a probe each
--- a/mintmast/lab/scale/lists.py
+++ b/mintmast/lab/scale/lists.py
@@ -24,7 +24,7 @@
 from mintmast.config import parse
 from mintmast.decide import Controller
 from mintmast.decisions import messages as msg
-from mintmast.decisions.gateways.records import Intent, RecordWriter, StoredRecord, RecordKind, RecoveredState
+from mintmast.decisions.gateways.records import Intent, RecordKind, RecordWriter, RecoveredState, StoredRecord
 from mintmast.decisions.gateways.witness import hash_key
 from mintmast.decisions.hosts.merging import Merger
 from mintmast.decisions.sessions.book import SessionBook
--- a/mintmast/lab/scale/peers.py
+++ b/mintmast/lab/scale/peers.py
@@ -19,9 +19,9 @@
 import msgspec
 
 from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.members import Members
 from mintmast.decisions.gateways.records import RecoveredState
-from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.witness import WitnessSelector, hash_key, select_witnesses
 from mintmast.decisions.gateways.witness_service import WitnessService
 from mintmast.lab.scale.record import Row
@@ -265,7 +265,8 @@
     )
     data = msgspec.json.encode(body)
     one = 3 + len(names[0])
-    told = f"budget {MAX_CALL_BYTES}, passed at {(MAX_CALL_BYTES - len(data) + one * (size - 2)) // one + 2} gateways"
+    passed_at = (MAX_CALL_BYTES - len(data) + one * (size - 2)) // one + 2
+    told = f"budget {MAX_CALL_BYTES}, passed at {passed_at} gateways"
     row("call.body", "B", len(data), f"names of {len(names[0])} letters; {told}")
 
 
--- a/mintmast/lab/scale/tapped.py
+++ b/mintmast/lab/scale/tapped.py
@@ -25,7 +25,7 @@
 from mintmast.lab.drills.day import Day, settings
 from mintmast.lab.scale.hollow import Hollow
 from mintmast.lab.stage import ACCESS, GATEWAY_PORT, PEER_PORT, SESSION
-from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, Handler, StreamLimits, Stream
+from mintmast.loop.base import DEFAULT_LIMITS, CloseReason, Handler, Stream, StreamLimits
 from mintmast.loop.memory import Node, World
 
 SECOND = 1_000_000
@@ -180,7 +180,8 @@
 
 
 _KINDS: dict[type, str] = {
-    claim_messages.VoteReceived: "keys.owner", Claim: "keys.owner", claim_messages.LearnReply: "learn", claim_messages.ExclusionsAcknowledged: "aside",
+    claim_messages.VoteReceived: "keys.owner", Claim: "keys.owner",
+    claim_messages.LearnReply: "learn", claim_messages.ExclusionsAcknowledged: "aside",
     claim_messages.PeerStatusChanged: "stands",
 }  # fmt: skip
 
@@ -238,7 +239,8 @@
     core, roster, lines, part = gateway.core, gateway.roster, gateway.peers, claims.witness_service
     port: Any = roster._port
     for owner, name, kind in (
-        (port, "_take", "membership"), (roster, "_take", "membership"), (lines, "answer_gossip", "membership"),
+        (port, "_take", "membership"), (roster, "_take", "membership"),
+        (lines, "answer_gossip", "membership"),
         (roster, "_post", "membership"), (core, "_handle", kind_of), (lines.server, "handle", "lines"),
         (lines, "_call", "lines"), (lines, "_decode_reply", "lines"), (part, "_review", "look"),
     ):  # fmt: skip
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,15 +8,15 @@
 
 from mintmast.decisions import messages as msg
 from mintmast.decisions.gateways import claim_messages, witness
+from mintmast.decisions.gateways.claim_messages import Vote
 from mintmast.decisions.gateways.claims import (
     Claims,
     ClaimState,
     VoteTally,
-    evaluate_votes,
     count_compatible_votes,
+    evaluate_votes,
 )
 from mintmast.decisions.gateways.member_status import Liveness
-from mintmast.decisions.gateways.claim_messages import Vote
 from mintmast.decisions.gateways.witness import ClaimRecord, merge_known_claim, release_claim, vote_on_claim
 from mintmast.decisions.gateways.witness_service import CLAIM_TIMEOUT_US
 from mintmast.http.client import HttpClient
@@ -560,7 +560,8 @@
     small = Small(gateways=3)
     lines = small.stage.gateways[0].peers
     good = {
-        "owner": "gw1/9", "at": small.stage.wall(), "members": lines._members_digest, "digest": "d", "number": 1,
+        "owner": "gw1/9", "at": small.stage.wall(), "members": lines._members_digest,
+        "digest": "d", "number": 1,
         "keep_ms": 3_600_000,
     }  # fmt: skip
     reply = ask_peer(small, good)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mintmast.http.client import ClientLimits, CallFailure, HttpClient, Reply
+from mintmast.http.client import CallFailure, ClientLimits, HttpClient, Reply
 from mintmast.http.server import HttpServer, ServerLimits
 from mintmast.loop import CloseReason, Handler, StreamLimits
 from mintmast.loop.memory import World
@@ -146,7 +146,8 @@
     call("unsent").cancel()
     net.until(lambda: len(results) == 5)
     assert results == {
-        "refused": CallFailure.REFUSED, "abort": CallFailure.CUT, "silent": CallFailure.SILENT, "off": CallFailure.CALLED_OFF,
+        "refused": CallFailure.REFUSED, "abort": CallFailure.CUT, "silent": CallFailure.SILENT,
+        "off": CallFailure.CALLED_OFF,
         "unsent": CallFailure.CALLED_OFF_UNSENT,
     }  # fmt: skip
 
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -3,7 +3,7 @@
 import random
 import statistics
 
-from helpers import T0, S, server_entry, attempt_end, make_controller, request, set_ups, report_use
+from helpers import T0, S, attempt_end, make_controller, report_use, request, server_entry, set_ups
 
 from mintmast import interface as api
 
