--- a/mintmast/core/service.py
+++ b/mintmast/core/service.py
@@ -13,14 +13,14 @@
     AnswerCallback,
     HostPort,
     ListSource,
-    SetUpRequest,
     PeerPort,
     PollCallback,
+    SetUpRequest,
     StorePort,
 )
 from mintmast.decisions import messages as msg
 from mintmast.decisions.gateways import claim_messages
-from mintmast.decisions.gateways.records import RecoveredState, WriteRecords, RecordsWritten
+from mintmast.decisions.gateways.records import RecordsWritten, RecoveredState, WriteRecords
 from mintmast.decisions.outcomes import Evidence, HostReport
 from mintmast.decisions.sessions.book import EMPTY_CATALOGUE, SessionBook
 from mintmast.decisions.sessions.intents import Catalogue
--- a/mintmast/decisions/sessions/actions.py
+++ b/mintmast/decisions/sessions/actions.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from mintmast import interface as api
-from mintmast.decisions.messages import FetchServerList, LogEvent, SendRung, Verdict, ScheduleTimer
+from mintmast.decisions.messages import FetchServerList, LogEvent, ScheduleTimer, SendRung, Verdict
 from mintmast.decisions.sessions import moves
 from mintmast.decisions.sessions.active_moves import ActiveMoves
 from mintmast.decisions.sessions.sessions import Session, Sessions, Signal, Stage
--- a/mintmast/decisions/sessions/active_moves.py
+++ b/mintmast/decisions/sessions/active_moves.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from mintmast import interface as api
-from mintmast.decisions.messages import Poll, RenewalEnded, LogEvent, AnswerPoll, ScheduleTimer
+from mintmast.decisions.messages import AnswerPoll, LogEvent, Poll, RenewalEnded, ScheduleTimer
 from mintmast.decisions.sessions import moves
 from mintmast.decisions.sessions.budget import RetryBudget
-from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.moves import FINAL_STAGES, Action, MovePlanner, Signal, Stage
 from mintmast.decisions.sessions.sessions import Session, Sessions
+from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.interface import Effect, Outcome
 
 SECOND = 1_000_000
--- a/mintmast/decisions/sessions/book.py
+++ b/mintmast/decisions/sessions/book.py
@@ -15,56 +15,56 @@
 from collections.abc import Callable
 
 from mintmast import interface as api
-from mintmast.decisions.gateways.claims import NO_QUORUM_REASON, Claims
-from mintmast.decisions.gateways.records import RecoveredState, RecordsWritten
 from mintmast.decisions.gateways.claim_messages import (
     ExclusionsAcknowledged,
-    ProcessDisqualified,
     LearnReply,
     PeerCall,
     PeerStatusChanged,
+    ProcessDisqualified,
     VoteReceived,
 )
+from mintmast.decisions.gateways.claims import NO_QUORUM_REASON, Claims
+from mintmast.decisions.gateways.records import RecordsWritten, RecoveredState
 from mintmast.decisions.messages import (
-    ViewerRequest,
-    RequestCancelled,
+    AnswerRequest,
     CancelSetUp,
     Command,
     DrainOrdered,
-    TimerFired,
-    TerminationAttemptEnded,
-    AnswerRequest,
-    HostDrainChanged,
     HostConnected,
     HostDisconnected,
-    HostMeasurement,
+    HostDrainChanged,
     HostHeartbeat,
-    ServerListUpdate,
+    HostMeasurement,
+    LogEvent,
     Poll,
     PollCancelled,
+    ReconciliationEnded,
     RenewalEnded,
-    LogEvent,
+    RequestCancelled,
+    ScheduleTimer,
+    ServerListUpdate,
     SessionEnded,
-    ReconciliationEnded,
     SetUpEnded,
+    TerminationAttemptEnded,
+    TimerFired,
     Verdict,
-    ScheduleTimer,
+    ViewerRequest,
 )
 from mintmast.decisions.outcomes import Evidence, OutcomeRow
 from mintmast.decisions.sessions import moves
 from mintmast.decisions.sessions.actions import ActionExecutor
-from mintmast.decisions.sessions.requests import PendingRequests
+from mintmast.decisions.sessions.active_moves import ActiveMoves
 from mintmast.decisions.sessions.budget import RetryBudget
-from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.decisions.sessions.fleet import Fleet
 from mintmast.decisions.sessions.intents import Catalogue, Intents
 from mintmast.decisions.sessions.keys import Keys
 from mintmast.decisions.sessions.leases import Leases
-from mintmast.decisions.sessions.active_moves import ActiveMoves
 from mintmast.decisions.sessions.orders import OperatorOrders
 from mintmast.decisions.sessions.recovery import Recovery
+from mintmast.decisions.sessions.requests import PendingRequests
 from mintmast.decisions.sessions.sessions import Session, Sessions, Signal, Stage
 from mintmast.decisions.sessions.setups import SetUps
+from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.interface import Outcome
 
 # µs after a session's deadline at which the book itself answers if no end of the attempt was reported. A bug
--- a/mintmast/decisions/sessions/fleet.py
+++ b/mintmast/decisions/sessions/fleet.py
@@ -7,19 +7,19 @@
 
 from mintmast import interface as api
 from mintmast.decisions.hosts.drains import DrainOrders
-from mintmast.decisions.hosts.list_handover import ListHandover
 from mintmast.decisions.hosts.host_state import HostStates
+from mintmast.decisions.hosts.list_handover import ListHandover
 from mintmast.decisions.messages import (
     DrainOrdered,
-    HostDrainChanged,
     HostConnected,
     HostDisconnected,
+    HostDrainChanged,
     HostMeasurement,
     ServerListUpdate,
 )
 from mintmast.decisions.sessions import moves
-from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.active_moves import ActiveMoves
+from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.sessions import Session, Sessions
 from mintmast.interface import ListKind, Outcome, ServerState
 
--- a/mintmast/decisions/sessions/intents.py
+++ b/mintmast/decisions/sessions/intents.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from mintmast.decisions.gateways.claims import Claims
-from mintmast.decisions.gateways.records import Intent, RecordWriter, RecordKind
-from mintmast.decisions.gateways.witness import RECORD_RETENTION_US, MAX_SESSION_US, hash_key
+from mintmast.decisions.gateways.records import Intent, RecordKind, RecordWriter
+from mintmast.decisions.gateways.witness import MAX_SESSION_US, RECORD_RETENTION_US, hash_key
 from mintmast.decisions.messages import ViewerRequest
 from mintmast.decisions.sessions.sessions import Session, format_session_name
 
--- a/mintmast/decisions/sessions/leases.py
+++ b/mintmast/decisions/sessions/leases.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterable
 
-from mintmast.decisions.messages import RenewalEnded, SendRenewal, ScheduleTimer
+from mintmast.decisions.messages import RenewalEnded, ScheduleTimer, SendRenewal
 from mintmast.decisions.sessions.lease import HostClock, Lease, renewal_interval
 from mintmast.decisions.sessions.sessions import Session
 
--- a/mintmast/decisions/sessions/orders.py
+++ b/mintmast/decisions/sessions/orders.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.gateways.records import RecordWriter, RecordKind, RecoveredState
-from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.claim_messages import PeerStatusChanged
+from mintmast.decisions.gateways.member_status import Liveness
+from mintmast.decisions.gateways.records import RecordKind, RecordWriter, RecoveredState
 from mintmast.decisions.messages import DrainOrdered, DrainRecorded
 from mintmast.decisions.sessions.fleet import Fleet
 
--- a/mintmast/decisions/sessions/recovery.py
+++ b/mintmast/decisions/sessions/recovery.py
@@ -19,15 +19,15 @@
 from mintmast.decisions.gateways.claims import Claims
 from mintmast.decisions.gateways.records import Intent, RecoveredState
 from mintmast.decisions.messages import (
-    ViewerRequest,
-    SessionNamed,
     LogEvent,
-    SendReconciliation,
     ReconciliationEnded,
-    Verdict,
     ScheduleTimer,
+    SendReconciliation,
+    SessionNamed,
+    Verdict,
+    ViewerRequest,
 )
-from mintmast.decisions.outcomes import RECOVERY_TABLE, RecoveryOutcome, HostReport, memory_covers
+from mintmast.decisions.outcomes import RECOVERY_TABLE, HostReport, RecoveryOutcome, memory_covers
 from mintmast.decisions.sessions.intents import Catalogue, Intents
 from mintmast.decisions.sessions.keys import Keys
 from mintmast.decisions.sessions.lease import Lease
--- a/mintmast/decisions/sessions/requests.py
+++ b/mintmast/decisions/sessions/requests.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.messages import ViewerRequest, AnswerRequest, Verdict, ScheduleTimer
+from mintmast.decisions.messages import AnswerRequest, ScheduleTimer, Verdict, ViewerRequest
 from mintmast.decisions.sessions.sessions import Session
 
 
--- a/mintmast/decisions/sessions/setups.py
+++ b/mintmast/decisions/sessions/setups.py
@@ -6,9 +6,9 @@
 
 from mintmast.decisions.messages import CancelSetUp, SendSetUp, SetUpEnded
 from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence, OutcomeRow, may_have_run
-from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.decisions.sessions.leases import Leases
 from mintmast.decisions.sessions.sessions import Action, Session, Signal
+from mintmast.decisions.sessions.terminations import Terminations
 
 # (now, session, reading of the host's clock, on_recorded): must call `on_recorded(now, is_durable)` once the
 # set-up may be sent or must be dropped
--- a/mintmast/decisions/sessions/terminations.py
+++ b/mintmast/decisions/sessions/terminations.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.messages import TerminationAttemptEnded, SendTermination, ScheduleTimer
+from mintmast.decisions.messages import ScheduleTimer, SendTermination, TerminationAttemptEnded
 from mintmast.decisions.sessions.sessions import Session
 
 SECOND = 1_000_000
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -15,9 +15,9 @@
 from mintmast.decisions.hosts.list_handover import WATCHES_PER_TURN
 from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence
 from mintmast.decisions.sessions.book import ANSWER_BACKSTOP_US, SessionBook
-from mintmast.decisions.sessions.terminations import ATTEMPT_TIMEOUT_US
 from mintmast.decisions.sessions.keys import KEY_RETENTION_US
 from mintmast.decisions.sessions.lease import MAX_CLOCK_DRIFT, HostClock, Lease
+from mintmast.decisions.sessions.terminations import ATTEMPT_TIMEOUT_US
 from mintmast.interface import ServerState
 
 LEASE = 4 * S
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,16 +12,16 @@
 from mintmast.decide import Controller
 from mintmast.decisions import messages as b
 from mintmast.decisions.gateways import claim_messages
+from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.records import (
     Intent,
-    StoredRecord,
     RecordKind,
-    WriteRecords,
     RecordsWritten,
+    StoredRecord,
+    WriteRecords,
     recover_state,
 )
-from mintmast.decisions.gateways.member_status import Liveness
-from mintmast.decisions.outcomes import RECOVERY_TABLE, Evidence, RecoveryOutcome, HostReport, memory_covers
+from mintmast.decisions.outcomes import RECOVERY_TABLE, Evidence, HostReport, RecoveryOutcome, memory_covers
 from mintmast.decisions.sessions.book import SessionBook
 from mintmast.decisions.sessions.intents import Catalogue
 from mintmast.lab import drills
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import S, server_entry
-from test_book import T0, viewer_request, new_book, one, only
+from test_book import T0, new_book, one, only, viewer_request
 
 from mintmast import interface as api
 from mintmast.decisions import messages as b
