--- a/mintmast/core/service.py
+++ b/mintmast/core/service.py
@@ -292,18 +292,18 @@
             command.clock,
         )
 
-        sent = self.loop.now()
+        sent_at = self.loop.now()
 
-        def done(evidence: Evidence, told: msg.HostStatus) -> None:
+        def done(evidence: Evidence, status: msg.HostStatus) -> None:
             self.log(
                 "attempt",
                 session=set_up.session,
                 attempt=command.attempt,
                 host=command.server.decode(),
                 evidence=evidence.value,
-                took_ms=(self.loop.now() - sent) / 1000,
+                took_ms=(self.loop.now() - sent_at) / 1000,
             )
-            self._handle(msg.SetUpEnded(command.session, command.attempt, evidence, told))
+            self._handle(msg.SetUpEnded(command.session, command.attempt, evidence, status))
 
         self.hosts.set_up(set_up, done)
 
@@ -323,48 +323,62 @@
         )
 
     def _send_termination(self, command: msg.SendTermination) -> None:
-        def done(sure: bool) -> None:
-            self._handle(msg.TerminationAttemptEnded(command.session, command.server, sure))
+        def done(is_confirmed: bool) -> None:
+            self._handle(msg.TerminationAttemptEnded(command.session, command.server, is_confirmed))
 
         self.hosts.end_session(
             command.server, self.session_name(command.session), command.epoch, command.until, done
         )
 
     def _send_renewal(self, command: msg.SendRenewal) -> None:
-        sent = self.loop.now()
-        named = tuple(
+        sent_at = self.loop.now()
+        named_sessions = tuple(
             (self.session_name(session), epoch, rung, self._rate_kb(session, rung))
             for session, epoch, rung in command.sessions
         )
         numbers = tuple(session for session, _, _ in command.sessions)
 
-        def done(answered: bool, arrived: bool, unknown: tuple[str, ...], told: msg.HostStatus) -> None:
-            unknown_sessions = tuple(self.session_number(each) for each in unknown)
+        def done(
+            answered: bool, arrived: bool, unknown_names: tuple[str, ...], status: msg.HostStatus
+        ) -> None:
+            unknown_sessions = tuple(self.session_number(each) for each in unknown_names)
             call = command.call_number
             self._handle(
                 msg.RenewalEnded(
-                    command.server, sent, call, answered, arrived, numbers, unknown_sessions, told
+                    command.server, sent_at, call, answered, arrived, numbers, unknown_sessions, status
                 )
             )
 
         self.hosts.renew_leases(
-            command.server, named, command.lease, command.until, command.call_number, command.clock, done
+            command.server,
+            named_sessions,
+            command.lease,
+            command.until,
+            command.call_number,
+            command.clock,
+            done,
         )
 
     def _send_reconciliation(self, command: msg.SendReconciliation) -> None:
-        sent = self.loop.now()
-        named = {self.session_name(session): epoch for session, epoch in command.sessions}
+        sent_at = self.loop.now()
+        named_sessions = {self.session_name(session): epoch for session, epoch in command.sessions}
 
-        def done(since: int, words: tuple[tuple[str, HostReport, int], ...], told: msg.HostStatus) -> None:
+        def done(
+            memory_since: int, reports: tuple[tuple[str, HostReport, int], ...], status: msg.HostStatus
+        ) -> None:
             received = tuple(
-                (self.session_number(name), word, rung) for name, word, rung in words if name in named
+                (self.session_number(name), report, rung)
+                for name, report, rung in reports
+                if name in named_sessions
             )
             self._handle(
-                msg.ReconciliationEnded(command.server, sent, command.call_number, since, received, told)
+                msg.ReconciliationEnded(
+                    command.server, sent_at, command.call_number, memory_since, received, status
+                )
             )
 
-        what = command.lease, command.until, command.call_number, command.clock
-        self.hosts.reconcile_sessions(command.server, named, *what, done)
+        call_parameters = command.lease, command.until, command.call_number, command.clock
+        self.hosts.reconcile_sessions(command.server, named_sessions, *call_parameters, done)
 
     def _name_session(self, command: msg.SessionNamed) -> None:
         self._names[command.session], self._numbers[command.name] = command.name, command.session
--- a/mintmast/decisions/sessions/actions.py
+++ b/mintmast/decisions/sessions/actions.py
@@ -69,13 +69,13 @@
                     session.rung = rung
                     if session.is_playing and session.server is not None:
                         self._emit(SendRung(request, session.server, rung, session.epoch))
-            case api.Refuse(request, advice):
+            case api.Refuse(request, retry_after):
                 session = self._sessions.get(request)
                 if session is not None:  # a session that may have run is never reported as refused
                     reason = session.refusal_reason or "no room"
                     may_have_run = session.stage is Stage.SPENT
                     self._callbacks.close(
-                        now, session, Verdict.FAILED if may_have_run else Verdict.REFUSED, advice, reason
+                        now, session, Verdict.FAILED if may_have_run else Verdict.REFUSED, retry_after, reason
                     )
             case api.Fail(request):
                 session = self._sessions.get(request)
@@ -96,7 +96,7 @@
                 return api.ProbeResult(server, Outcome.NOT_SENT, 0)
             case api.Log(text):
                 self._emit(LogEvent("module", (("text", text),)))
-            case _:  # CloseIdle: idle connections close by themselves. TellPeers: not supported
+            case _:  # CloseIdle: idle connections close by themselves. SendToPeers: not supported
                 pass
         return None
 
--- a/mintmast/decisions/sessions/active_moves.py
+++ b/mintmast/decisions/sessions/active_moves.py
@@ -76,7 +76,7 @@
         self.stay_reasons: dict[int, str] = {}  # why a session stays on a draining host, as of its last poll
         self._by_old: dict[int, Move] = {}  # by the old session
         self._by_new: dict[int, Move] = {}  # by the new session
-        self._successors: dict[int, int] = {}  # old session: the new one
+        self._successors: dict[int, int] = {}  # old session: new session
         self._polls: dict[int, Move] = {}
 
     def apply_settings(self, settings: api.Settings) -> None:
@@ -218,8 +218,8 @@
     def _answer_poll(self, poll_id: int, session: Session, moved: bool = False) -> None:
         self.cancel_poll(poll_id)
         request, server = session.request, session.server or b""
-        place = session.number, server, session.rung, session.epoch
-        self._emit(AnswerPoll(poll_id, *place, request.title, request.service, request.best_rung, moved))
+        placement = session.number, server, session.rung, session.epoch
+        self._emit(AnswerPoll(poll_id, *placement, request.title, request.service, request.best_rung, moved))
 
     def _apply_signal(self, now: int, move: Move, signal: Signal) -> None:
         """Apply a signal and execute the transition's actions, then any signal that an action causes."""
@@ -315,9 +315,8 @@
         """Request a place from the module; the set-up is sent later."""
         if move.stage is Stage.REPLACING:
             self._close_old(now, move)
-        elif not self._retry_budget.allows(
-            now
-        ):  # used up since the move began; nothing has been terminated yet
+        elif not self._retry_budget.allows(now):
+            # used up since the move began; nothing has been terminated yet
             return Signal.NO_ROOM
         request = move.old.request
         remaining = max(SECOND, move.old.first_played_at + request.length - now) if request.length else 0
--- a/mintmast/decisions/sessions/book.py
+++ b/mintmast/decisions/sessions/book.py
@@ -100,8 +100,8 @@
             Terminations(lease_length, self._emit),
         )
         self.claims = Claims(gateway, generation, members, self._emit, self._handle_claim_decided)
-        self.keeper = self.claims.witness_service.record_writer
-        self.intents = Intents(self.keeper, self.claims, catalogue, gateway, generation)
+        self.record_writer = self.claims.witness_service.record_writer
+        self.intents = Intents(self.record_writer, self.claims, catalogue, gateway, generation)
         self.set_ups = SetUps(
             self.leases,
             self.terminations,
@@ -131,7 +131,7 @@
             self.intents,
             self._emit,
         )
-        self.orders = OperatorOrders(self.fleet, self.keeper, self._emit)
+        self.orders = OperatorOrders(self.fleet, self.record_writer, self._emit)
         self.handlers: dict[type, Callable] = {
             ViewerRequest: self._handle_request,
             RequestCancelled: self._handle_request_cancelled,
@@ -154,7 +154,7 @@
             ),
             PeerStatusChanged: self._handle_peer_state,
             ProcessDisqualified: lambda now, e: self.claims.witness_service.disqualify(now, e),
-            RecordsWritten: lambda now, e: self.keeper.handle_written(now, e),
+            RecordsWritten: lambda now, e: self.record_writer.handle_written(now, e),
             ReconciliationEnded: lambda now, e: self.recovery.handle_reconciliation_ended(now, e),
             DrainOrdered: self.orders.handle_drain_order,
             ServerListUpdate: self._handle_list_update,
@@ -238,9 +238,8 @@
         session = self.sessions.get(number)
         if session is None:
             return
-        if (
-            failure == NO_QUORUM_REASON
-        ):  # the key's owner cannot be determined here, but perhaps at another gateway
+        if failure == NO_QUORUM_REASON:
+            # the key's owner cannot be determined here, but perhaps at another gateway
             self.pending_requests.answer_all(session, Verdict.FAILED, reason=failure, try_elsewhere=True)
         if failure or not session.waiting_requests or now >= session.deadline:
             self.close(now, session, Verdict.FAILED, reason=failure or "time is up")
@@ -249,9 +248,8 @@
 
     def _place_or_fail(self, now: int, session: Session) -> None:
         self.request_placement(now, session)
-        if (
-            session.waiting_requests and not session.has_attempt_out
-        ):  # the module must have sent or closed it by rule 1
+        if session.waiting_requests and not session.has_attempt_out:
+            # the module must have sent or closed it by rule 1
             self._emit(LogEvent("unanswered", (("session", session.number),)))
             self.close(now, session, Verdict.FAILED, reason="undecided")
 
@@ -334,23 +332,23 @@
         if event.evidence is Evidence.UNRECORDED and session is not None:
             session.refusal_reason = "records cannot be written"
             self._emit(LogEvent("unrecorded", (("session", session.number),)))
-        row = self.set_ups.record_end(now, session, event)
-        if row is None or session is None or session.server is None:
+        outcome_row = self.set_ups.record_end(now, session, event)
+        if outcome_row is None or session is None or session.server is None:
             return
         server, duration, load = session.server, now - session.sent_at, event.status.load
         unwatched = not session.waiting_requests and not self.moves.is_move_target(session.number)
-        if row.outcome is None and unwatched:
+        if outcome_row.outcome is None and unwatched:
             self.set_ups.give_up(now, session, Signal.UNWATCHED)
             self.close(now, session)
             attempt_end = api.AttemptEnd(
                 event.session, event.attempt, server, Outcome.SERVED, duration, True, load
             )
             self.dispatch(now, attempt_end)
-        elif row.outcome is None:
+        elif outcome_row.outcome is None:
             self._handle_started(now, session, server, duration, load)
         else:
             attempt_end = api.AttemptEnd(
-                event.session, event.attempt, server, row.outcome, duration, unwatched, load
+                event.session, event.attempt, server, outcome_row.outcome, duration, unwatched, load
             )
             self.dispatch(now, attempt_end)
             if self.sessions.get(event.session) is not None and not session.has_attempt_out:
@@ -439,15 +437,17 @@
         if not self.sessions.playing_at(server):
             self.leases.stop_renewing(server)
             return
-        staying = [
+        staying_sessions = [
             each
             for each in self.sessions.playing_at(server).values()
             if not self.moves.is_moving(each.number)
         ]
-        for session in self.leases.expired(now, staying):
+        for session in self.leases.expired(now, staying_sessions):
             self.record_end(now, session, Outcome.RESET)
-        here = self.sessions.playing_at(server).values()
-        self.leases.renew_all(now, server, [each for each in here if not self.moves.is_moving(each.number)])
+        playing_sessions = self.sessions.playing_at(server).values()
+        self.leases.renew_all(
+            now, server, [each for each in playing_sessions if not self.moves.is_moving(each.number)]
+        )
 
     def _handle_timer(self, now: int, event: TimerFired) -> None:
         match event.token:
--- a/mintmast/decisions/sessions/intents.py
+++ b/mintmast/decisions/sessions/intents.py
@@ -62,9 +62,9 @@
     """The intents of one gateway; `gateway` and `generation` identify the run of its process."""
 
     def __init__(
-        self, keeper: RecordWriter, claims: Claims, catalogue: Catalogue, gateway: str, generation: int
+        self, record_writer: RecordWriter, claims: Claims, catalogue: Catalogue, gateway: str, generation: int
     ) -> None:
-        self._keeper, self._claims, self._catalogue = keeper, claims, catalogue
+        self._record_writer, self._claims, self._catalogue = record_writer, claims, catalogue
         self._gateway, self._generation = gateway, generation
         self._records: dict[int, tuple[str, Intent]] = {}  # by session: digest and record
         self._expiries: deque[tuple[int, str]] = deque()  # (running time in µs at expiry, digest)
@@ -86,13 +86,13 @@
         `clock_reading` is the last reading of the host's clock (µs, -1 for none).
         """
         request = session.request
-        if not self._keeper.enabled or session.server is None or not (request.key or session.is_free):
+        if not self._record_writer.enabled or session.server is None or not (request.key or session.is_free):
             on_recorded(now, True)
             return
         name = format_session_name(self._gateway, self._generation, session.number)
         service, tenant, title = self._catalogue.names_of(request)
         owner, number = self._claims.owning_claim(session.number)
-        until = self._keeper.runtime(now) + (request.length or MAX_SESSION_US) + RECORD_RETENTION_US
+        until = self._record_writer.runtime(now) + (request.length or MAX_SESSION_US) + RECORD_RETENTION_US
         intent = Intent(
             until,
             request.key,
@@ -131,10 +131,12 @@
         if intent is None:
             return
         if may_have_run and not intent.free:
-            self._keeper.save(now, RecordKind.INTENT, digest, msgspec.structs.replace(intent, over=True))
+            self._record_writer.save(
+                now, RecordKind.INTENT, digest, msgspec.structs.replace(intent, over=True)
+            )
         else:
             self._kept_until.pop(digest, None)
-            self._keeper.save(now, RecordKind.INTENT, digest, None)
+            self._record_writer.save(now, RecordKind.INTENT, digest, None)
 
     def _record(
         self,
@@ -148,11 +150,11 @@
         self._records[session] = digest, intent
         self._kept_until[digest] = intent.until
         self._expiries.append((intent.until, digest))
-        self._keeper.save(now, RecordKind.INTENT, digest, intent, on_recorded)
+        self._record_writer.save(now, RecordKind.INTENT, digest, intent, on_recorded)
 
     def _remove_expired(self, now: int) -> None:
         """Remove expired records, without which the file would grow forever."""
-        running_time = self._keeper.runtime(now)
+        running_time = self._record_writer.runtime(now)
         for _ in range(min(MAX_REMOVED_PER_WRITE, len(self._expiries))):
             until, digest = self._expiries[0]
             if until > running_time:
@@ -160,4 +162,4 @@
             self._expiries.popleft()
             if self._kept_until.get(digest) == until:
                 del self._kept_until[digest]
-                self._keeper.save(now, RecordKind.INTENT, digest, None)
+                self._record_writer.save(now, RecordKind.INTENT, digest, None)
--- a/mintmast/decisions/sessions/orders.py
+++ b/mintmast/decisions/sessions/orders.py
@@ -18,11 +18,10 @@
 class OperatorOrders:
     """The operators' orders of one gateway; `emit` receives commands."""
 
-    def __init__(self, fleet: Fleet, keeper: RecordWriter, emit: Callable[[object], None]) -> None:
-        self._fleet, self._keeper, self._emit = fleet, keeper, emit
-        self._known_peers: dict[
-            str, tuple[int, bool]
-        ] = {}  # other gateways: generation, removed by an operator
+    def __init__(self, fleet: Fleet, record_writer: RecordWriter, emit: Callable[[object], None]) -> None:
+        self._fleet, self._record_writer, self._emit = fleet, record_writer, emit
+        # other gateways: (generation, whether an operator has removed it)
+        self._known_peers: dict[str, tuple[int, bool]] = {}
 
     def restore(self, now: int, recovered: RecoveredState) -> None:
         """Restore the orders recorded by earlier generations."""
@@ -36,16 +35,18 @@
         self._fleet.handle_drain_order(now, event)
         server = event.server
         drain_deadline = self._fleet.drains.deadline_of(server)
-        until = None if drain_deadline is None else drain_deadline + self._keeper.runtime(now) - now
+        until = None if drain_deadline is None else drain_deadline + self._record_writer.runtime(now) - now
 
-        def kept(at: int, good: bool) -> None:
-            self._emit(DrainRecorded(server, good))
+        def report_recorded(at: int, is_durable: bool) -> None:
+            self._emit(DrainRecorded(server, is_durable))
 
-        self._keeper.save(now, RecordKind.DRAIN, server.decode(), until, kept, delete=not event.drain)
+        self._record_writer.save(
+            now, RecordKind.DRAIN, server.decode(), until, report_recorded, delete=not event.drain
+        )
 
     def handle_peer_state(self, now: int, event: PeerStatusChanged) -> None:
         """Record the last known generation of a gateway and whether an operator has removed it."""
         peer_state = event.generation, event.liveness is Liveness.ORDER
         if event.generation and peer_state != self._known_peers.get(event.peer):
             self._known_peers[event.peer] = peer_state
-            self._keeper.save(now, RecordKind.MEMBER, event.peer, peer_state)
+            self._record_writer.save(now, RecordKind.MEMBER, event.peer, peer_state)
--- a/mintmast/decisions/sessions/recovery.py
+++ b/mintmast/decisions/sessions/recovery.py
@@ -106,13 +106,13 @@
 
     def restore(self, now: int, recovered: RecoveredState) -> None:
         """Restore the records of earlier generations; no host is queried before the hosts are known."""
-        for digest, (intent, keep) in sorted(recovered.intents.items(), key=lambda each: each[1][1]):
-            self._claims.restore_owned(now, digest, intent.owner, intent.number, keep)
+        for digest, (intent, retention) in sorted(recovered.intents.items(), key=lambda each: each[1][1]):
+            self._claims.restore_owned(now, digest, intent.owner, intent.number, retention)
             numbers = self._catalogue.numbers_of(intent)
             if intent.over or numbers is None:
                 self.counts["not offered"] += not intent.over
                 if not intent.free:
-                    self._keys.mark_used(now, intent.key, keep)
+                    self._keys.mark_used(now, intent.key, retention)
                 self._intents.restore(now, 0, digest, intent)
             else:
                 self._restore_session(now, digest, intent, numbers)
@@ -130,8 +130,8 @@
         """Reopen a session as one with an attempt under way."""
         service, tenant, title = numbers
         deadline = now + 2 * self._leases.length
-        where = intent.home, intent.copies, intent.best_rung
-        request = ViewerRequest(0, service, tenant, title, *where, 0, intent.key, intent.length)
+        placement = intent.home, intent.copies, intent.best_rung
+        request = ViewerRequest(0, service, tenant, title, *placement, 0, intent.key, intent.length)
         session = self._sessions.open(request, deadline, self._settings.classes[service].effect)
         session.apply_signal(Signal.SENT)
         session.server, session.epoch, session.rung = intent.server.encode(), intent.epoch, intent.rung
@@ -157,7 +157,7 @@
         for number in self._unsettled:
             session = self._sessions.by_number[number]
             request = session.request
-            about = (
+            session_details = (
                 request.service,
                 request.tenant,
                 request.title,
@@ -165,7 +165,7 @@
                 session.server or b"",
                 request.length,
             )
-            self._callbacks.dispatch(now, api.SessionOpen(number, *about, planned=False))
+            self._callbacks.dispatch(now, api.SessionOpen(number, *session_details, planned=False))
         self.continue_queries(now)
 
     def continue_queries(self, now: int) -> None:
@@ -174,20 +174,20 @@
             self._query_host(now, self._waiting_hosts.popleft())
 
     def _query_host(self, now: int, server: bytes) -> None:
-        here = self._unsettled_at(server)[:MAX_SESSIONS_PER_QUERY]
-        if not here:
+        sessions = self._unsettled_at(server)[:MAX_SESSIONS_PER_QUERY]
+        if not sessions:
             return
-        number, clock = self._leases.begin_reconciliation(now, server, here)
+        number, clock = self._leases.begin_reconciliation(now, server, sessions)
         self._pending_calls[server] = number
-        queried = tuple((each.number, each.epoch) for each in here)
+        queried = tuple((each.number, each.epoch) for each in sessions)
         self._emit(
             SendReconciliation(server, queried, now + RETRY_INTERVAL_US, number, clock, self._leases.length)
         )
 
     def _unsettled_at(self, server: bytes) -> list[Session]:
         """Return the unsettled sessions at a host."""
-        found = (self._sessions.by_number[number] for number in self._unsettled)
-        return [each for each in found if each.server == server]
+        unsettled = (self._sessions.by_number[number] for number in self._unsettled)
+        return [each for each in unsettled if each.server == server]
 
     def handle_reconciliation_ended(self, now: int, event: ReconciliationEnded) -> None:
         """Process the end of a query, with or without a reply."""
@@ -228,9 +228,8 @@
             self._emit(LogEvent("all_settled", tuple(self.counts.items())))
         server = session.server or b""
         if outcome is RecoveryOutcome.PLAYS and session.is_free and self._keys.holder(intent.key):
-            self._callbacks.end_unwatched(
-                now, session
-            )  # the viewer has retried and already has another session
+            # the viewer has retried and already has another session
+            self._callbacks.end_unwatched(now, session)
             return
         if outcome is RecoveryOutcome.PLAYS:
             self._keys.hold(intent.key, number)
--- a/mintmast/decisions/sessions/setups.py
+++ b/mintmast/decisions/sessions/setups.py
@@ -47,19 +47,19 @@
         epoch = self._last_epoch
         until = min(timeout_at or session.deadline, session.deadline)
 
-        def leave(at: int, good: bool) -> None:
+        def send_if_recorded(at: int, is_durable: bool) -> None:
             if not session.awaits_record or session.epoch != epoch:
                 return  # abandoned meanwhile, with nothing sent
             attempt = session.attempts - 1
-            if not good:
+            if not is_durable:
                 self._on_unrecorded(at, SetUpEnded(session.number, attempt, Evidence.UNRECORDED))
                 return
             session.awaits_record, session.sent_at = False, at
             number, clock = self._leases.begin_set_up(at, server, session)
-            what = session.number, attempt, server, session.rung, epoch
-            self._emit(SendSetUp(*what, until, session.request, number, clock, moved_from))
+            set_up = session.number, attempt, server, session.rung, epoch
+            self._emit(SendSetUp(*set_up, until, session.request, number, clock, moved_from))
 
-        self._record_before(now, session, self._leases.last_reading(server), leave)
+        self._record_before(now, session, self._leases.last_reading(server), send_if_recorded)
 
     def record_end(self, now: int, session: Session | None, event: SetUpEnded) -> OutcomeRow | None:
         """Process the end of an attempt and return its outcome row; None if it had been abandoned.
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -11,7 +11,7 @@
 
 from mintmast import Controller
 from mintmast import interface as api
-from mintmast.decisions import messages as b
+from mintmast.decisions import messages as msg
 from mintmast.decisions.hosts.list_handover import WATCHES_PER_TURN
 from mintmast.decisions.outcomes import OUTCOME_TABLE, Evidence
 from mintmast.decisions.sessions.book import ANSWER_BACKSTOP_US, SessionBook
@@ -34,13 +34,14 @@
     book = SessionBook(controller.settings, controller.handle, LEASE, epoch_base=100)
     book.start(T0 - 100 * S)
     book.handle(
-        T0 - 100 * S, b.ServerListUpdate(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(servers)))
+        T0 - 100 * S,
+        msg.ServerListUpdate(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(servers))),
     )
     return book
 
 
 def viewer_request(number, service=0, key="", budget=2 * S, title=5):
-    return b.ViewerRequest(number, service, 0, title, 0, 4, 3, budget, key)
+    return msg.ViewerRequest(number, service, 0, title, 0, 4, 3, budget, key)
 
 
 def only(commands, kind):
@@ -56,89 +57,94 @@
 @pytest.mark.parametrize("evidence", [each for each in Evidence if each is not Evidence.STARTED])
 def test_no_outcome_lets_a_paid_session_that_may_have_run_be_set_up_again(evidence):
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1)), b.SendSetUp)
-    after = book.handle(T0 + 1000, b.SetUpEnded(sent.session, 0, evidence))
+    sent = one(book.handle(T0, viewer_request(1)), msg.SendSetUp)
+    after = book.handle(T0 + 1000, msg.SetUpEnded(sent.session, 0, evidence))
     if evidence in (Evidence.MOOT, Evidence.UNRECORDED, Evidence.WITHDRAWN):
-        assert one(after, b.AnswerRequest).verdict is b.Verdict.REFUSED
+        assert one(after, msg.AnswerRequest).verdict is msg.Verdict.REFUSED
     elif evidence in NEVER_RAN:
-        again = one(after, b.SendSetUp)
+        again = one(after, msg.SendSetUp)
         assert again.server != sent.server and again.epoch > sent.epoch
-        assert not only(after, b.SendTermination)
+        assert not only(after, msg.SendTermination)
     else:
-        assert one(after, b.AnswerRequest).verdict is b.Verdict.FAILED
-        end = one(after, b.SendTermination)
+        assert one(after, msg.AnswerRequest).verdict is msg.Verdict.FAILED
+        end = one(after, msg.SendTermination)
         assert (end.server, end.epoch) == (sent.server, sent.epoch)
     assert OUTCOME_TABLE[evidence].never_ran is (evidence in NEVER_RAN)
 
 
 def test_free_session_is_resent_to_another_host_and_its_lost_attempt_is_terminated():
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, service=1)), b.SendSetUp)
-    after = book.handle(T0 + S, b.SetUpEnded(sent.session, 0, Evidence.SILENT))
-    assert one(after, b.SendSetUp).server != sent.server
-    assert one(after, b.SendTermination).server == sent.server
+    sent = one(book.handle(T0, viewer_request(1, service=1)), msg.SendSetUp)
+    after = book.handle(T0 + S, msg.SetUpEnded(sent.session, 0, Evidence.SILENT))
+    assert one(after, msg.SendSetUp).server != sent.server
+    assert one(after, msg.SendTermination).server == sent.server
 
 
 def test_reply_at_the_deadline_is_either_answered_or_late_but_never_both():
     for answer_first in (True, False):
         book = new_book()
-        sent = one(book.handle(T0, viewer_request(1)), b.SendSetUp)
-        started = b.SetUpEnded(sent.session, 0, Evidence.STARTED)
-        late = b.TimerFired(("late", sent.session))
+        sent = one(book.handle(T0, viewer_request(1)), msg.SendSetUp)
+        started = msg.SetUpEnded(sent.session, 0, Evidence.STARTED)
+        late = msg.TimerFired(("late", sent.session))
         first, second = (started, late) if answer_first else (late, started)
-        gives = only(book.handle(T0 + 2 * S, first) + book.handle(T0 + 2 * S, second), b.AnswerRequest)
-        assert [each.verdict for each in gives] == [b.Verdict.PLAYS if answer_first else b.Verdict.FAILED]
+        answers = only(book.handle(T0 + 2 * S, first) + book.handle(T0 + 2 * S, second), msg.AnswerRequest)
+        assert [each.verdict for each in answers] == [
+            msg.Verdict.PLAYS if answer_first else msg.Verdict.FAILED
+        ]
         assert book.set_ups.late_starts == (not answer_first)
 
 
 def test_abandoned_attempt_is_terminated_with_retries_until_the_host_confirms():
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1)), b.SendSetUp)
-    end = one(book.handle(T0 + 2 * S, b.SetUpEnded(sent.session, 0, Evidence.SILENT)), b.SendTermination)
-    wake = one(
-        book.handle(T0 + 3 * S, b.TerminationAttemptEnded(end.session, end.server, False)), b.ScheduleTimer
+    sent = one(book.handle(T0, viewer_request(1)), msg.SendSetUp)
+    end = one(book.handle(T0 + 2 * S, msg.SetUpEnded(sent.session, 0, Evidence.SILENT)), msg.SendTermination)
+    timer = one(
+        book.handle(T0 + 3 * S, msg.TerminationAttemptEnded(end.session, end.server, False)),
+        msg.ScheduleTimer,
     )
-    assert one(book.handle(wake.at, b.TimerFired(wake.token)), b.SendTermination) == end.__class__(
-        end.session, end.server, end.epoch, wake.at + ATTEMPT_TIMEOUT_US
+    assert one(book.handle(timer.at, msg.TimerFired(timer.token)), msg.SendTermination) == end.__class__(
+        end.session, end.server, end.epoch, timer.at + ATTEMPT_TIMEOUT_US
     )
-    assert book.handle(wake.at + 1, b.TerminationAttemptEnded(end.session, end.server, True)) == []
-    assert book.handle(wake.at + 2, b.TimerFired(wake.token)) == []
+    assert book.handle(timer.at + 1, msg.TerminationAttemptEnded(end.session, end.server, True)) == []
+    assert book.handle(timer.at + 2, msg.TimerFired(timer.token)) == []
 
 
 def test_two_requests_of_one_key_share_one_set_up_and_both_are_answered():
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
-    assert not only(book.handle(T0 + 1, viewer_request(2, key="k")), b.SendSetUp)
-    gives = only(book.handle(T0 + 2, b.SetUpEnded(sent.session, 0, Evidence.STARTED)), b.AnswerRequest)
-    assert {each.request_id for each in gives} == {1, 2}
-    third = one(book.handle(T0 + S, viewer_request(3, key="k")), b.AnswerRequest)
-    assert (third.verdict, third.session) == (b.Verdict.PLAYS, sent.session)
+    sent = one(book.handle(T0, viewer_request(1, key="k")), msg.SendSetUp)
+    assert not only(book.handle(T0 + 1, viewer_request(2, key="k")), msg.SendSetUp)
+    answers = only(book.handle(T0 + 2, msg.SetUpEnded(sent.session, 0, Evidence.STARTED)), msg.AnswerRequest)
+    assert {each.request_id for each in answers} == {1, 2}
+    third = one(book.handle(T0 + S, viewer_request(3, key="k")), msg.AnswerRequest)
+    assert (third.verdict, third.session) == (msg.Verdict.PLAYS, sent.session)
 
 
 def test_paid_key_that_may_have_run_is_not_set_up_again_but_a_refused_one_may_be():
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
-    book.handle(T0 + 1, b.SetUpEnded(sent.session, 0, Evidence.CUT))
-    assert one(book.handle(T0 + 2, viewer_request(2, key="k")), b.AnswerRequest).verdict is b.Verdict.FAILED
-    assert one(book.handle(T0 + KEY_RETENTION_US + 2 * S, viewer_request(3, key="k")), b.SendSetUp)
+    sent = one(book.handle(T0, viewer_request(1, key="k")), msg.SendSetUp)
+    book.handle(T0 + 1, msg.SetUpEnded(sent.session, 0, Evidence.CUT))
+    assert (
+        one(book.handle(T0 + 2, viewer_request(2, key="k")), msg.AnswerRequest).verdict is msg.Verdict.FAILED
+    )
+    assert one(book.handle(T0 + KEY_RETENTION_US + 2 * S, viewer_request(3, key="k")), msg.SendSetUp)
     empty = new_book(servers=0)
-    assert one(empty.handle(T0, viewer_request(1, key="k")), b.AnswerRequest).verdict is b.Verdict.REFUSED
-    assert one(empty.handle(T0, viewer_request(2, key="k")), b.AnswerRequest).verdict is b.Verdict.REFUSED
+    assert one(empty.handle(T0, viewer_request(1, key="k")), msg.AnswerRequest).verdict is msg.Verdict.REFUSED
+    assert one(empty.handle(T0, viewer_request(2, key="k")), msg.AnswerRequest).verdict is msg.Verdict.REFUSED
 
 
 def test_set_up_of_a_viewer_who_leaves_is_cancelled_and_terminated():
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
-    after = book.handle(T0 + 1, b.RequestCancelled(1))
-    assert one(after, b.CancelSetUp).session == sent.session
-    assert one(after, b.SendTermination).epoch == sent.epoch
-    assert book.handle(T0 + 2, b.SetUpEnded(sent.session, 0, Evidence.STARTED)) == []
+    sent = one(book.handle(T0, viewer_request(1, key="k")), msg.SendSetUp)
+    after = book.handle(T0 + 1, msg.RequestCancelled(1))
+    assert one(after, msg.CancelSetUp).session == sent.session
+    assert one(after, msg.SendTermination).epoch == sent.epoch
+    assert book.handle(T0 + 2, msg.SetUpEnded(sent.session, 0, Evidence.STARTED)) == []
     assert book.set_ups.late_starts == 1 and not book.sessions.by_number
 
 
 def playing(book, number=1, now=T0, service=1):
-    sent = one(book.handle(now, viewer_request(number, service=service)), b.SendSetUp)
-    book.handle(now + 1000, b.SetUpEnded(sent.session, 0, Evidence.STARTED))
+    sent = one(book.handle(now, viewer_request(number, service=service)), msg.SendSetUp)
+    book.handle(now + 1000, msg.SetUpEnded(sent.session, 0, Evidence.STARTED))
     return sent
 
 
@@ -148,14 +154,14 @@
     now, renewals = T0 + 1000, 0
     while sent.session in book.sessions.by_number and now < T0 + 60 * S:
         now += LEASE // 3
-        commands = book.handle(now, b.TimerFired(("renew", sent.server)))
-        for renew in only(commands, b.SendRenewal):
+        commands = book.handle(now, msg.TimerFired(("renew", sent.server)))
+        for renew in only(commands, msg.SendRenewal):
             renewals += 1
             answered = renewals <= 5
             now += 1000
             numbers = tuple(each[0] for each in renew.sessions)
             book.handle(
-                now, b.RenewalEnded(sent.server, now - 1000, renew.call_number, answered, True, numbers)
+                now, msg.RenewalEnded(sent.server, now - 1000, renew.call_number, answered, True, numbers)
             )
     # five were answered and later ones may have arrived; the session ends only after these can have expired
     assert 7 <= renewals <= 9 and sent.session not in book.sessions.by_number
@@ -167,23 +173,25 @@
     book = SessionBook(controller.settings, controller.handle, LEASE)
     book.start(T0)
     entries = tuple(replace(server_entry(0), server=b"host-%d:1" % n, cell=n % 4) for n in range(2000))
-    queue, watched, turns = book.handle(T0, b.ServerListUpdate(api.ListKind.FULL, 1, entries)), 0, 0
-    book.handle(T0, b.HostDrainChanged(b"host-1999:1", True))
-    while wakes := [each for each in queue if isinstance(each, b.ScheduleTimer)]:
-        watched += len(only(queue, b.WatchHost))
-        assert len(only(queue, b.WatchHost)) <= 2 * WATCHES_PER_TURN
-        queue = [command for wake in wakes for command in book.handle(wake.at, b.TimerFired(wake.token))]
+    queue, watched, turns = book.handle(T0, msg.ServerListUpdate(api.ListKind.FULL, 1, entries)), 0, 0
+    book.handle(T0, msg.HostDrainChanged(b"host-1999:1", True))
+    while timers := [each for each in queue if isinstance(each, msg.ScheduleTimer)]:
+        watched += len(only(queue, msg.WatchHost))
+        assert len(only(queue, msg.WatchHost)) <= 2 * WATCHES_PER_TURN
+        queue = [
+            command for timer in timers for command in book.handle(timer.at, msg.TimerFired(timer.token))
+        ]
         turns += 1
     states = [controller.servers[entry.server].entry.state for entry in entries]
     assert states.count(ServerState.READY) == 1999 and states[1999] is ServerState.DRAINING
-    assert watched + len(only(queue, b.WatchHost)) == 2000 and turns > 5
+    assert watched + len(only(queue, msg.WatchHost)) == 2000 and turns > 5
 
 
 def test_renewals_of_many_sessions_are_split_into_calls_of_limited_size():
     book = new_book(servers=1, kind_streams=(5000,), weight_kb=1e9, links_kb=1e9, uplink_kb=0.0)
     for number in range(1, 951):
         sent = playing(book, number, T0 + number * 1000)
-    renewals = only(book.handle(T0 + 2 * S, b.TimerFired(("renew", sent.server))), b.SendRenewal)
+    renewals = only(book.handle(T0 + 2 * S, msg.TimerFired(("renew", sent.server))), msg.SendRenewal)
     assert [len(each.sessions) for each in renewals] == [200, 200, 200, 200, 150]
     assert len({each.call_number for each in renewals}) == 5
 
@@ -191,17 +199,17 @@
 def test_host_that_refuses_connections_loses_its_sessions_and_is_gone_until_it_reconnects():
     book = new_book(servers=1)
     sent = playing(book)
-    book.handle(T0 + S, b.HostConnected(sent.server, "p1", None, False))
-    book.handle(T0 + 2 * S, b.HostDisconnected(sent.server, 0.5, refused=True))
+    book.handle(T0 + S, msg.HostConnected(sent.server, "p1", None, False))
+    book.handle(T0 + 2 * S, msg.HostDisconnected(sent.server, 0.5, refused=True))
     assert sent.session not in book.sessions.by_number
     assert (
-        one(book.handle(T0 + 3 * S, viewer_request(2, service=1)), b.AnswerRequest).verdict
-        is b.Verdict.REFUSED
+        one(book.handle(T0 + 3 * S, viewer_request(2, service=1)), msg.AnswerRequest).verdict
+        is msg.Verdict.REFUSED
     )
-    book.handle(T0 + 4 * S, b.HostConnected(sent.server, "p2", 10_000, False))
+    book.handle(T0 + 4 * S, msg.HostConnected(sent.server, "p2", 10_000, False))
     # the host is back with cold caches: the module paces set-ups there, as the start of its process is known
     counts = [
-        len(only(book.handle(T0 + 4 * S + n, viewer_request(10 + n, service=1)), b.SendSetUp))
+        len(only(book.handle(T0 + 4 * S + n, viewer_request(10 + n, service=1)), msg.SendSetUp))
         for n in range(30)
     ]
     assert 1 <= sum(counts) <= 4
@@ -210,13 +218,13 @@
 def test_drain_reported_by_a_host_stops_set_ups_at_once_and_the_list_cannot_revoke_it():
     book = new_book(servers=1)
     server = server_entry(0).server
-    book.handle(T0, b.HostDrainChanged(server, True))
-    book.handle(T0 + 1, b.ServerListUpdate(api.ListKind.FULL, 2, (server_entry(0),)))
-    assert one(book.handle(T0 + 2, viewer_request(1)), b.AnswerRequest).verdict is b.Verdict.REFUSED
-    book.handle(T0 + 3, b.HostDrainChanged(server, False))
-    assert one(book.handle(T0 + 4, viewer_request(2)), b.SendSetUp)
-    book.handle(T0 + 5, b.ServerListUpdate(api.ListKind.FULL, 3, (server_entry(0, ServerState.DRAINING),)))
-    assert one(book.handle(T0 + 6, viewer_request(3)), b.AnswerRequest).verdict is b.Verdict.REFUSED
+    book.handle(T0, msg.HostDrainChanged(server, True))
+    book.handle(T0 + 1, msg.ServerListUpdate(api.ListKind.FULL, 2, (server_entry(0),)))
+    assert one(book.handle(T0 + 2, viewer_request(1)), msg.AnswerRequest).verdict is msg.Verdict.REFUSED
+    book.handle(T0 + 3, msg.HostDrainChanged(server, False))
+    assert one(book.handle(T0 + 4, viewer_request(2)), msg.SendSetUp)
+    book.handle(T0 + 5, msg.ServerListUpdate(api.ListKind.FULL, 3, (server_entry(0, ServerState.DRAINING),)))
+    assert one(book.handle(T0 + 6, viewer_request(3)), msg.AnswerRequest).verdict is msg.Verdict.REFUSED
 
 
 CALLS = st.lists(
@@ -299,8 +307,8 @@
     """Simulates hosts and viewers of a random event sequence; checks each command as the book sends it."""
 
     def __init__(self, book):
-        self.book, self.now, self.asks = book, T0, 0
-        self.out, self.wakes, self.answered, self.deadline = {}, [], {}, {}
+        self.book, self.now, self.requests = book, T0, 0
+        self.out, self.timers, self.answered, self.deadline = {}, [], {}, {}
         self.polls, self.polled = set(), 0
         self.may_have_run, self.paid, self.left, self.held = set(), {}, set(), {}
         self.key_ran = {}
@@ -308,89 +316,91 @@
     def handle(self, event):
         for command in self.book.handle(self.now, event):
             match command:
-                case b.AnswerPoll(poll):
+                case msg.AnswerPoll(poll):
                     assert poll in self.polls, "poll answered twice"
                     self.polls.remove(poll)
-                case b.SendSetUp(session, attempt, server, _, epoch, until, ask, _, _, moved_from):
+                case msg.SendSetUp(session, attempt, server, _, epoch, until, request, _, _, moved_from):
                     assert moved_from not in {number for number, _ in self.held}, "moved while it plays"
-                    assert not (moved_from and ask.service == 0), "paid session moved"
+                    assert not (moved_from and request.service == 0), "paid session moved"
                     assert session not in self.out, "two attempts under way"
-                    paid = ask.service == 0
+                    paid = request.service == 0
                     assert not (paid and session in self.may_have_run), "paid session sent twice"
-                    assert not (paid and self.key_ran.get(ask.key)), "paid key sent twice"
-                    assert not ask.request_id or until <= self.deadline[ask.request_id]
-                    self.out[session] = (attempt, server, epoch, until, ask)
+                    assert not (paid and self.key_ran.get(request.key)), "paid key sent twice"
+                    assert not request.request_id or until <= self.deadline[request.request_id]
+                    self.out[session] = (attempt, server, epoch, until, request)
                     self.held[session, server] = epoch
-                case b.CancelSetUp(session, _):
+                case msg.CancelSetUp(session, _):
                     self.out.pop(session, None)
-                case b.SendTermination(session, server, epoch):
+                case msg.SendTermination(session, server, epoch):
                     if self.held.get((session, server), 0) <= epoch:
                         self.held.pop((session, server), None)
-                    self.wakes.append(
-                        (self.now + 1000, b.TerminationAttemptEnded(session, server, bool(epoch % 3)))
+                    self.timers.append(
+                        (self.now + 1000, msg.TerminationAttemptEnded(session, server, bool(epoch % 3)))
                     )
-                case b.AnswerRequest(number, verdict, session):
+                case msg.AnswerRequest(number, verdict, session):
                     assert number not in self.answered, "request answered twice"
                     assert number not in self.left, "answer to a viewer who left"
                     assert self.now <= self.deadline[number] + ANSWER_BACKSTOP_US, "late answer"
                     self.answered[number] = verdict
-                    if verdict is b.Verdict.REFUSED:
+                    if verdict is msg.Verdict.REFUSED:
                         assert not (self.paid[number] and session in self.may_have_run)
-                case b.ScheduleTimer(at, token):
-                    self.wakes.append((at, b.TimerFired(token)))
-                case b.SendRenewal(server, sessions, _, call):
+                case msg.ScheduleTimer(at, token):
+                    self.timers.append((at, msg.TimerFired(token)))
+                case msg.SendRenewal(server, sessions, _, call):
                     numbers = tuple(each[0] for each in sessions)
-                    self.wakes.append(
+                    self.timers.append(
                         (
                             self.now + 1000,
-                            b.RenewalEnded(
-                                server, self.now, call, True, True, numbers, (), b.HostStatus((), self.now)
+                            msg.RenewalEnded(
+                                server, self.now, call, True, True, numbers, (), msg.HostStatus((), self.now)
                             ),
                         )
                     )
 
     def step(self, what, draw):
         if what in ("ask", "again"):
-            self.asks += 1
+            self.requests += 1
             service, key = draw % 2, f"k{draw % 7}" if what == "again" else ""
-            self.paid[self.asks] = service == 0
-            self.deadline[self.asks] = self.now + 2 * S
+            self.paid[self.requests] = service == 0
+            self.deadline[self.requests] = self.now + 2 * S
             self.handle(
-                b.ViewerRequest(
-                    self.asks, service, 0, draw % 3, 0, 4, 3, 2 * S, f"{service}{key}" if key else ""
+                msg.ViewerRequest(
+                    self.requests, service, 0, draw % 3, 0, 4, 3, 2 * S, f"{service}{key}" if key else ""
                 )
             )
-        elif what == "gone" and self.asks:
-            number = draw % self.asks + 1
+        elif what == "gone" and self.requests:
+            number = draw % self.requests + 1
             if number not in self.answered:
                 self.left.add(number)
-                self.handle(b.RequestCancelled(number))
+                self.handle(msg.RequestCancelled(number))
         elif what in ("start", "fail") and self.out:
             session = sorted(self.out)[draw % len(self.out)]
-            attempt, server, epoch, _, ask = self.out.pop(session)
+            attempt, server, epoch, _, request = self.out.pop(session)
             kinds = sorted(OUTCOME_TABLE, key=lambda each: each.value)
             evidence = Evidence.STARTED if what == "start" else kinds[draw % len(kinds)]
-            self.end(session, attempt, server, ask, evidence)
+            self.end(session, attempt, server, request, evidence)
         elif what == "over" and self.book.sessions.by_number:
             session = sorted(self.book.sessions.by_number)[draw % len(self.book.sessions.by_number)]
             for server in [server_entry(n).server for n in range(5)]:
                 if session not in self.out:
                     self.held.pop((session, server), None)
-                    self.handle(b.SessionEnded(server, session))
+                    self.handle(msg.SessionEnded(server, session))
         elif what == "poll" and self.book.sessions.by_number:
             self.polled += 1
             self.polls.add(self.polled)
             session = sorted(self.book.sessions.by_number)[draw % len(self.book.sessions.by_number)]
-            self.handle(b.Poll(self.polled, session, draw % 5 * 3 * S, S))
+            self.handle(msg.Poll(self.polled, session, draw % 5 * 3 * S, S))
         elif what == "lost":
             if draw % 3:
                 self.died(server_entry(draw % 5).server)
-            self.handle(b.HostDisconnected(server_entry(draw % 5).server, 0.5, bool(draw % 3)))
+            self.handle(msg.HostDisconnected(server_entry(draw % 5).server, 0.5, bool(draw % 3)))
         elif what == "hello":
             self.died(server_entry(draw % 5).server)
-            self.handle(b.HostConnected(server_entry(draw % 5).server, f"p{self.asks}", 0, not draw % 5))
+            self.handle(
+                msg.HostConnected(server_entry(draw % 5).server, f"p{self.requests}", 0, not draw % 5)
+            )
         elif what == "drain":
-            self.handle(b.HostDrainChanged(server_entry(draw % 5).server, bool(draw % 2)))
+            self.handle(msg.HostDrainChanged(server_entry(draw % 5).server, bool(draw % 2)))
         elif what == "wait":
             self.wait(self.now + draw)
 
@@ -400,38 +410,38 @@
             if place == server and session not in self.out:
                 del self.held[session, place]
 
-    def end(self, session, attempt, server, ask, evidence):
+    def end(self, session, attempt, server, request, evidence):
         if evidence not in NEVER_RAN:
             self.may_have_run.add(session)
-            if ask.key:
-                self.key_ran[ask.key] = True
+            if request.key:
+                self.key_ran[request.key] = True
         else:
             self.held.pop((session, server), None)
         replied = evidence in (Evidence.STARTED, Evidence.FULL, Evidence.FENCED, Evidence.HOST_ERROR)
-        told = b.HostStatus((), self.now) if replied else b.NO_STATUS
-        self.handle(b.SetUpEnded(session, attempt, evidence, told))
+        status = msg.HostStatus((), self.now) if replied else msg.NO_STATUS
+        self.handle(msg.SetUpEnded(session, attempt, evidence, status))
 
     def wait(self, until):
         for server in [server_entry(n).server for n in range(5)]:
-            self.handle(b.HostHeartbeat(server, self.now))
+            self.handle(msg.HostHeartbeat(server, self.now))
         while True:
             due = [(until_, s) for s, (_, _, _, until_, _) in self.out.items() if until_ <= until]
-            wakes = [at for at, _ in self.wakes if at <= until]
-            if not due and not wakes:
+            timers = [at for at, _ in self.timers if at <= until]
+            if not due and not timers:
                 break
-            if due and (not wakes or min(due)[0] <= min(wakes)):
+            if due and (not timers or min(due)[0] <= min(timers)):
                 self.now, session = max(self.now, min(due)[0]), min(due)[1]
-                attempt, server, _, _, ask = self.out.pop(session)
-                self.end(session, attempt, server, ask, Evidence.SILENT)
+                attempt, server, _, _, request = self.out.pop(session)
+                self.end(session, attempt, server, request, Evidence.SILENT)
                 continue
-            self.wakes.sort(key=lambda each: each[0])
-            at, event = self.wakes.pop(0)
+            self.timers.sort(key=lambda each: each[0])
+            at, event = self.timers.pop(0)
             self.now = max(self.now, at)
             self.handle(event)
         self.now = max(self.now, until)
 
     def check_finished(self):
-        assert set(self.answered) | self.left == set(range(1, self.asks + 1)), "request without an answer"
+        assert set(self.answered) | self.left == set(range(1, self.requests + 1)), "request without an answer"
         assert not self.out and not self.polls
         held = {session for session, _ in self.held}
         assert held <= set(self.book.sessions.by_number), "a host holds a session that is never terminated"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,7 @@
 
 from mintmast import interface as api
 from mintmast.decide import Controller
-from mintmast.decisions import messages as b
+from mintmast.decisions import messages as msg
 from mintmast.decisions.gateways import claim_messages
 from mintmast.decisions.gateways.member_status import Liveness
 from mintmast.decisions.gateways.records import (
@@ -33,17 +33,17 @@
 class GatewayRun:
     """One run of a gateway's process with a store; `rows` is its disk."""
 
-    def __init__(self, rows, now=T0, start=7, members=(), names=NAMES, seats=2):
+    def __init__(self, rows, now=T0, generation=7, members=(), names=NAMES, seats=2):
         self.rows, self.now = rows, now
         paid, free = settings().classes
         controller = Controller(settings(classes=(replace(paid, seats=seats), free)), 1)
         self.book = SessionBook(
-            controller.settings, controller.handle, LEASE, 100, None, "g0", start, members, names
+            controller.settings, controller.handle, LEASE, 100, None, "g0", generation, members, names
         )
         self.out = self.book.start(now, recover_state(list(rows.values())))
-        self.handle(b.ServerListUpdate(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(4))))
+        self.handle(msg.ServerListUpdate(api.ListKind.FULL, 1, tuple(server_entry(n) for n in range(4))))
         for n in range(4):
-            self.handle(b.HostConnected(server_entry(n).server, "p", None, False, 5))
+            self.handle(msg.HostConnected(server_entry(n).server, "p", None, False, 5))
 
     def handle(self, event, after=1000):
         self.now += after
@@ -67,24 +67,26 @@
 
     def fire_timer(self, name):
         """Fire the first pending timer of a kind."""
-        wake = next(each for each in self.out if isinstance(each, b.ScheduleTimer) and each.token[0] == name)
+        wake = next(
+            each for each in self.out if isinstance(each, msg.ScheduleTimer) and each.token[0] == name
+        )
         self.out.remove(wake)
         self.now = max(self.now, wake.at)
-        self.handle(b.TimerFired(wake.token), 0)
+        self.handle(msg.TimerFired(wake.token), 0)
 
     def ask(self, number, key="k", service=0, title=5):
-        self.handle(b.ViewerRequest(number, service, 0, title, 0, 4, 3, 2 * S, key, 10 * S))
+        self.handle(msg.ViewerRequest(number, service, 0, title, 0, 4, 3, 2 * S, key, 10 * S))
 
     def verdicts(self):
-        return [each.verdict for each in self.take_commands(b.AnswerRequest)]
+        return [each.verdict for each in self.take_commands(msg.AnswerRequest)]
 
     def answer_query(self, word, since=0, rung=2, clock=9):
-        (asked,) = self.take_commands(b.SendReconciliation)
-        words = tuple((number, word, rung) for number, _ in asked.sessions) if word else ()
-        told = b.HostStatus((), clock) if word else b.NO_STATUS
+        (query,) = self.take_commands(msg.SendReconciliation)
+        words = tuple((number, word, rung) for number, _ in query.sessions) if word else ()
+        status = msg.HostStatus((), clock) if word else msg.NO_STATUS
         self.handle(
-            b.ReconciliationEnded(
-                asked.server, self.now - 500, asked.call_number, since if word else -1, words, told
+            msg.ReconciliationEnded(
+                query.server, self.now - 500, query.call_number, since if word else -1, words, status
             )
         )
 
@@ -93,76 +95,84 @@
     """Play a paid session in one run of the gateway and return its set-up."""
     first = GatewayRun(rows, **more)
     first.ask(1)
-    assert not first.take_commands(b.SendSetUp)  # not before the record is durable
+    assert not first.take_commands(msg.SendSetUp)  # not before the record is durable
     first.flush()
-    (sent,) = first.take_commands(b.SendSetUp)
-    first.handle(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
-    assert first.verdicts() == [b.Verdict.PLAYS]
+    (sent,) = first.take_commands(msg.SendSetUp)
+    first.handle(msg.SetUpEnded(sent.session, 0, Evidence.STARTED))
+    assert first.verdicts() == [msg.Verdict.PLAYS]
     return sent
 
 
 def test_set_up_that_cannot_be_recorded_is_not_sent_and_its_viewer_is_refused():
-    life = GatewayRun({})
-    life.ask(1)
-    life.flush(good=False)
-    (give,) = life.take_commands(b.AnswerRequest)
+    gateway = GatewayRun({})
+    gateway.ask(1)
+    gateway.flush(good=False)
+    (answer,) = gateway.take_commands(msg.AnswerRequest)
     assert (
-        give.verdict is b.Verdict.REFUSED and "records" in give.reason and not life.take_commands(b.SendSetUp)
+        answer.verdict is msg.Verdict.REFUSED
+        and "records" in answer.reason
+        and not gateway.take_commands(msg.SendSetUp)
     )
-    life.ask(2)  # the disk hangs: the request times out with nothing sent
-    life.take_commands(b.AnswerRequest)
-    writes = life.take_commands(WriteRecords)
-    life.fire_timer("late")
-    life.fire_timer("late")
-    assert life.verdicts() == [b.Verdict.REFUSED]
-    life.ask(3, "gone")
-    life.handle(b.RequestCancelled(3))
-    life.out += writes
-    life.flush()
-    assert not life.take_commands(b.SendSetUp) and not life.book.held
-    life.ask(4)
-    life.flush()
-    assert len(life.take_commands(b.SendSetUp)) == 1
-    life.ask(5, "free one", service=1)
-    assert len(life.take_commands(b.SendSetUp)) == 1  # does not wait for the record
+    gateway.ask(2)  # the disk hangs: the request times out with nothing sent
+    gateway.take_commands(msg.AnswerRequest)
+    writes = gateway.take_commands(WriteRecords)
+    gateway.fire_timer("late")
+    gateway.fire_timer("late")
+    assert gateway.verdicts() == [msg.Verdict.REFUSED]
+    gateway.ask(3, "gone")
+    gateway.handle(msg.RequestCancelled(3))
+    gateway.out += writes
+    gateway.flush()
+    assert not gateway.take_commands(msg.SendSetUp) and not gateway.book.held
+    gateway.ask(4)
+    gateway.flush()
+    assert len(gateway.take_commands(msg.SendSetUp)) == 1
+    gateway.ask(5, "free one", service=1)
+    assert len(gateway.take_commands(msg.SendSetUp)) == 1  # does not wait for the record
 
 
 def test_playing_session_resumes_after_a_restart_with_its_name_and_seat():
     rows = {}
     sent = play_session(rows)
-    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
-    (named,) = life.take_commands(b.SessionNamed)
+    gateway = GatewayRun(rows, now=T0 + S, generation=8, seats=1)
+    (named,) = gateway.take_commands(msg.SessionNamed)
     assert named.name == "g0-7-1"
-    life.ask(1)
-    life.ask(2, "other")
-    assert life.verdicts() == [b.Verdict.REFUSED]  # the only seat is taken; the request with the key waits
-    life.answer_query(HostReport.PLAYS)
-    (give,) = life.take_commands(b.AnswerRequest)
-    assert (give.verdict, give.server, give.rung, give.epoch) == (b.Verdict.PLAYS, sent.server, 2, sent.epoch)
-    life.fire_timer("renew")
-    (renewal,) = life.take_commands(b.SendRenewal)
+    gateway.ask(1)
+    gateway.ask(2, "other")
+    # the only seat is taken; the request with the key waits
+    assert gateway.verdicts() == [msg.Verdict.REFUSED]
+    gateway.answer_query(HostReport.PLAYS)
+    (answer,) = gateway.take_commands(msg.AnswerRequest)
+    assert (answer.verdict, answer.server, answer.rung, answer.epoch) == (
+        msg.Verdict.PLAYS,
+        sent.server,
+        2,
+        sent.epoch,
+    )
+    gateway.fire_timer("renew")
+    (renewal,) = gateway.take_commands(msg.SendRenewal)
     assert renewal.sessions == ((named.session, sent.epoch, 2),)
-    life.handle(b.SessionEnded(sent.server, named.session))
-    life.flush()
-    third = GatewayRun(rows, now=T0 + 9 * S, start=9)
+    gateway.handle(msg.SessionEnded(sent.server, named.session))
+    gateway.flush()
+    third = GatewayRun(rows, now=T0 + 9 * S, generation=9)
     third.ask(1)
-    assert third.verdicts() == [b.Verdict.FAILED] and not third.take_commands(b.SendReconciliation)
+    assert third.verdicts() == [msg.Verdict.FAILED] and not third.take_commands(msg.SendReconciliation)
 
 
 @pytest.mark.parametrize(("word", "since"), [(HostReport.RAN, 0), (HostReport.NOT_HERE, 8)])
 def test_key_of_a_session_that_ran_or_may_have_run_stays_used(word, since):
     rows = {}
     play_session(rows)
-    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
-    life.ask(1)
-    life.answer_query(word, since)
-    assert life.verdicts() == [b.Verdict.FAILED]
-    life.flush()
-    life.ask(2, "other")
-    life.flush()
-    assert len(life.take_commands(b.SendSetUp)) == 1  # its seat is free
-    life.ask(3)
-    assert life.verdicts() == [b.Verdict.FAILED]
+    gateway = GatewayRun(rows, now=T0 + S, generation=8, seats=1)
+    gateway.ask(1)
+    gateway.answer_query(word, since)
+    assert gateway.verdicts() == [msg.Verdict.FAILED]
+    gateway.flush()
+    gateway.ask(2, "other")
+    gateway.flush()
+    assert len(gateway.take_commands(msg.SendSetUp)) == 1  # its seat is free
+    gateway.ask(3)
+    assert gateway.verdicts() == [msg.Verdict.FAILED]
 
 
 def test_session_that_never_ran_is_refused_and_may_be_requested_again():
@@ -177,33 +187,33 @@
             claim_messages.VoteReceived(claim.peer, claim.number, claim_messages.Vote.GRANTED, (), 5)
         )
     first.flush()
-    assert len(first.take_commands(b.SendSetUp)) == 1  # and the gateway crashes
-    life = GatewayRun(rows, now=T0 + S, start=8, members=members)
-    life.ask(1)
-    life.answer_query(HostReport.NOT_HERE)
-    assert life.verdicts() == [b.Verdict.REFUSED]
-    released = life.take_commands(claim_messages.SendRelease)
+    assert len(first.take_commands(msg.SendSetUp)) == 1  # and the gateway crashes
+    gateway = GatewayRun(rows, now=T0 + S, generation=8, members=members)
+    gateway.ask(1)
+    gateway.answer_query(HostReport.NOT_HERE)
+    assert gateway.verdicts() == [msg.Verdict.REFUSED]
+    released = gateway.take_commands(claim_messages.SendRelease)
     assert {each.owner for each in released} == {"g0/7"} and len(released) == 2
-    life.flush()
+    gateway.flush()
     assert not [key for kind, key in rows if kind == RecordKind.INTENT.value]
 
 
 def test_host_that_does_not_reply_is_queried_until_nothing_can_play_there():
     rows = {}
     play_session(rows)
-    life = GatewayRun(rows, now=T0 + S, start=8, seats=1)
-    begin, asked = life.now, 0
-    while life.book.recovery.unsettled_count and asked < 99:
-        life.answer_query(None)
-        asked += 1
-        if life.book.recovery.unsettled_count:
-            life.fire_timer("settle")
-    assert asked > 5 and 2 * LEASE < life.now - begin < 3 * LEASE
-    life.ask(1)
-    assert life.verdicts() == [b.Verdict.FAILED]
-    life.ask(2, "other")
-    life.flush()
-    assert len(life.take_commands(b.SendSetUp)) == 1
+    gateway = GatewayRun(rows, now=T0 + S, generation=8, seats=1)
+    begin, queries = gateway.now, 0
+    while gateway.book.recovery.unsettled_count and queries < 99:
+        gateway.answer_query(None)
+        queries += 1
+        if gateway.book.recovery.unsettled_count:
+            gateway.fire_timer("settle")
+    assert queries > 5 and 2 * LEASE < gateway.now - begin < 3 * LEASE
+    gateway.ask(1)
+    assert gateway.verdicts() == [msg.Verdict.FAILED]
+    gateway.ask(2, "other")
+    gateway.flush()
+    assert len(gateway.take_commands(msg.SendSetUp)) == 1
 
 
 def test_free_session_resumes_unless_its_viewer_has_retried():
@@ -212,52 +222,56 @@
     for number in (1, 2):
         first.ask(number, f"k{number}", service=1)
     first.flush()
-    for sent in first.take_commands(b.SendSetUp):
-        first.handle(b.SetUpEnded(sent.session, 0, Evidence.STARTED))
-    life = GatewayRun(rows, now=T0 + S, start=8)
-    life.ask(1, "k1", service=1)
-    (again,) = life.take_commands(b.SendSetUp)
-    life.handle(b.SetUpEnded(again.session, 0, Evidence.STARTED))
-    for asked in life.take_commands(b.SendReconciliation):
-        words = tuple((number, HostReport.PLAYS, 1) for number, _ in asked.sessions)
-        life.handle(
-            b.ReconciliationEnded(asked.server, life.now, asked.call_number, 0, words, b.HostStatus((), 9))
+    for sent in first.take_commands(msg.SendSetUp):
+        first.handle(msg.SetUpEnded(sent.session, 0, Evidence.STARTED))
+    gateway = GatewayRun(rows, now=T0 + S, generation=8)
+    gateway.ask(1, "k1", service=1)
+    (again,) = gateway.take_commands(msg.SendSetUp)
+    gateway.handle(msg.SetUpEnded(again.session, 0, Evidence.STARTED))
+    for query in gateway.take_commands(msg.SendReconciliation):
+        words = tuple((number, HostReport.PLAYS, 1) for number, _ in query.sessions)
+        gateway.handle(
+            msg.ReconciliationEnded(
+                query.server, gateway.now, query.call_number, 0, words, msg.HostStatus((), 9)
+            )
         )
-    assert len(life.take_commands(b.SendTermination)) == 1 and life.book.held == 2
-    life.ask(2, "k2", service=1)
-    assert life.verdicts() == [b.Verdict.PLAYS] * 2 and not life.take_commands(b.SendSetUp)
+    assert len(gateway.take_commands(msg.SendTermination)) == 1 and gateway.book.held == 2
+    gateway.ask(2, "k2", service=1)
+    assert gateway.verdicts() == [msg.Verdict.PLAYS] * 2 and not gateway.take_commands(msg.SendSetUp)
 
 
 def test_settings_changed_during_a_restart_never_make_a_used_key_usable():
     rows = {}
     play_session(rows)
     turned = replace(NAMES, titles=tuple(reversed(NAMES.titles)))
-    life = GatewayRun(rows, now=T0 + S, start=8, names=turned)
-    (found,) = life.book.sessions.by_number.values()
+    gateway = GatewayRun(rows, now=T0 + S, generation=8, names=turned)
+    (found,) = gateway.book.sessions.by_number.values()
     assert found.request.title == NAMES.titles[::-1].index("t5")
-    fewer = GatewayRun(rows, now=T0 + S, start=8, names=replace(NAMES, titles=("t0",)))
+    fewer = GatewayRun(rows, now=T0 + S, generation=8, names=replace(NAMES, titles=("t0",)))
     assert not fewer.book.held
     fewer.ask(1)
-    assert fewer.verdicts() == [b.Verdict.FAILED]
+    assert fewer.verdicts() == [msg.Verdict.FAILED]
 
 
 def test_operators_orders_survive_a_crash_and_are_confirmed_when_durable():
     rows = {}
     first = GatewayRun(rows, members=("g0", "g1", "g2"))
     server = server_entry(2).server
-    first.handle(b.DrainOrdered(server, True, 60 * S))
-    assert not first.take_commands(b.DrainRecorded)
+    first.handle(msg.DrainOrdered(server, True, 60 * S))
+    assert not first.take_commands(msg.DrainRecorded)
     first.handle(claim_messages.PeerStatusChanged("g1", Liveness.ORDER, 5))
     first.flush()
-    assert first.take_commands(b.DrainRecorded) == [b.DrainRecorded(server, True)]
+    assert first.take_commands(msg.DrainRecorded) == [msg.DrainRecorded(server, True)]
     kept = recover_state(list(rows.values()))
     assert kept.members == {"g1": (5, True)}
-    life = GatewayRun(rows, now=T0 + S, start=8)
-    assert life.book.host_watch.hosts[server].drain_ordered and life.book.host_watch.should_vacate(server)
-    assert life.book.fleet.drains.deadline_of(server) - T0 > 55 * S
-    life.handle(b.DrainOrdered(server, False))
-    life.flush()
-    assert not GatewayRun(rows, now=T0 + 2 * S, start=9).book.host_watch.should_vacate(server)
+    gateway = GatewayRun(rows, now=T0 + S, generation=8)
+    assert gateway.book.host_watch.hosts[server].drain_ordered and gateway.book.host_watch.should_vacate(
+        server
+    )
+    assert gateway.book.fleet.drains.deadline_of(server) - T0 > 55 * S
+    gateway.handle(msg.DrainOrdered(server, False))
+    gateway.flush()
+    assert not GatewayRun(rows, now=T0 + 2 * S, generation=9).book.host_watch.should_vacate(server)
 
 
 def test_malformed_intents_neither_start_sessions_nor_stop_the_gateway():
@@ -266,9 +280,9 @@
     odd += [msgspec.structs.replace(good, service="nobody", length=-1)]
     for each in odd:
         rows = {("intent", "d"): StoredRecord("intent", "d", msgspec.msgpack.encode(each))}
-        life = GatewayRun(rows)
-        life.ask(1)
-        assert b.Verdict.PLAYS not in life.verdicts()
+        gateway = GatewayRun(rows)
+        gateway.ask(1)
+        assert msg.Verdict.PLAYS not in gateway.verdicts()
 
 
 # What a host's report proves: exhaustive exploration of all that may happen to one set-up
@@ -322,10 +336,10 @@
             to(plays=False)
         if stage == "asking" and fate is None and len(asks) + len(answers) < 2:
             to(asks=(*asks, host))
-        for place, life in enumerate(asks):
+        for place, process in enumerate(asks):
             rest = asks[:place] + asks[place + 1 :]
             to(asks=rest)
-            if life == host:
+            if process == host:
                 word = HostReport.PLAYS if plays else HostReport.RAN if ran == host else HostReport.NOT_HERE
                 stop = fenced or (fence and word is HostReport.NOT_HERE)
                 to(asks=rest, fenced=stop, answers=(*answers, (word, host)))
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -7,7 +7,7 @@
 from test_book import T0, new_book, one, only, viewer_request
 
 from mintmast import interface as api
-from mintmast.decisions import messages as b
+from mintmast.decisions import messages as msg
 from mintmast.decisions.outcomes import Evidence
 from mintmast.decisions.sessions import sessions
 from mintmast.decisions.sessions.sessions import Action, Signal, Stage, TransitionError, transition_for
@@ -26,7 +26,7 @@
 
 
 def successors(state, free):
-    stage, epoch, answered, charges, hosts, net, gateway, owed = state
+    stage, epoch, answered, charges, hosts, net, gateway, pending = state
 
     def signal(kind, place=None, answer=False, leaves=True):
         """Apply a signal at the gateway; None if there is no transition for it."""
@@ -35,7 +35,7 @@
         except TransitionError:
             return None
         assert not (answer and answered), "a second answer"
-        sent, out, more = set(net), epoch, set(owed)
+        sent, out, more = set(net), epoch, set(pending)
         for act in acts:
             if act is Action.SET_UP:
                 out += 1
@@ -57,14 +57,14 @@
                 yield "sent", signal(Signal.SENT, place)
             yield "sent, and no byte leaves", signal(Signal.SENT, "A", leaves=False)
         for kind, place, number in net:
-            mine = number == epoch and stage is Stage.OUT
-            if kind == "started" and mine:
+            is_current = number == epoch and stage is Stage.OUT
+            if kind == "started" and is_current:
                 yield "started", signal(Signal.STARTED, answer=not answered)
-            elif kind == "full" and mine:
+            elif kind == "full" and is_current:
                 yield "full", signal(Signal.NEVER_RAN)
-            elif kind == "ended" and (place, number) in owed:
-                rest = owed - {(place, number)}
-                yield "end confirmed", (*state[:7], rest)
+            elif kind == "ended" and (place, number) in pending:
+                remaining = pending - {(place, number)}
+                yield "end confirmed", (*state[:7], remaining)
         if stage is Stage.OUT:
             yield "silent or cut", signal(Signal.MAY_HAVE_RUN)
             if not any(kind == "left" and number == epoch for kind, _, number in net):
@@ -86,13 +86,13 @@
             first = ("ran", place, number) not in net
             ran = put(place, (True, number if first else 0, fence))
             told = net | {("started", place, number), ("ran", place, number)}
-            yield "set-up runs", (stage, epoch, answered, charges + first, ran, told, gateway, owed)
+            yield "set-up runs", (stage, epoch, answered, charges + first, ran, told, gateway, pending)
             if ("ran", place, number) not in net:
                 fenced = put(place, (True, 0, number))
-                yield "no room", (*state[:4], fenced, net | {("full", place, number)}, gateway, owed)
+                yield "no room", (*state[:4], fenced, net | {("full", place, number)}, gateway, pending)
         elif kind == "end":
             ended = put(place, (True, 0 if runs <= number else runs, max(fence, number)))
-            yield "end arrives", (*state[:4], ended, net | {("ended", place, number)}, gateway, owed)
+            yield "end arrives", (*state[:4], ended, net | {("ended", place, number)}, gateway, pending)
     for place in HOSTS:
         lives, runs, fence = hosts[HOSTS.index(place)]
         if lives and runs:  # also while it plays, as renewals may be lost
@@ -112,13 +112,13 @@
             if after is None:
                 continue
             steps += 1
-            stage, epoch, answered, charges, hosts, net, gateway, owed = after
+            stage, epoch, answered, charges, hosts, net, gateway, pending = after
             if not free:
                 assert charges <= 1, f"charged twice by {name}: {state}"
             for place, (lives, runs, _) in zip(HOSTS, hosts, strict=True):
                 # what a host may hold plays, is being set up, has a pending termination, or is not renewed
                 wanted = runs == epoch and stage in (Stage.OUT, Stage.PLAYS)
-                assert not runs or wanted or not gateway or (place, runs) in owed, f"left there: {after}"
+                assert not runs or wanted or not gateway or (place, runs) in pending, f"left there: {after}"
                 assert lives or not runs
             if after not in seen:
                 seen.add(after)
@@ -156,7 +156,7 @@
             with pytest.raises(TransitionError):
                 transition_for(stage, signal, is_free=False)
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
+    sent = one(book.handle(T0, viewer_request(1, key="k")), msg.SendSetUp)
     session = book.sessions.get(sent.session)
     with pytest.raises(TransitionError):
         book.send_set_up(T0, session, sent.server, 0)
@@ -165,13 +165,15 @@
 def test_refusal_of_a_session_that_may_have_run_is_answered_as_a_failure():
     """The outcome table, not the module, decides whether a session provably never ran."""
     book = new_book()
-    sent = one(book.handle(T0, viewer_request(1, key="k")), b.SendSetUp)
-    decide = book.actions._handle_module_event
+    sent = one(book.handle(T0, viewer_request(1, key="k")), msg.SendSetUp)
+    handle_module_event = book.actions._handle_module_event
     book.actions._handle_module_event = lambda now, event: (
-        [api.Refuse(sent.session, S)] if isinstance(event, api.AttemptEnd) else decide(now, event)
+        [api.Refuse(sent.session, S)]
+        if isinstance(event, api.AttemptEnd)
+        else handle_module_event(now, event)
     )
-    after = book.handle(T0 + 1, b.SetUpEnded(sent.session, 0, Evidence.CUT))
-    assert one(after, b.AnswerRequest).verdict is b.Verdict.FAILED
+    after = book.handle(T0 + 1, msg.SetUpEnded(sent.session, 0, Evidence.CUT))
+    assert one(after, msg.AnswerRequest).verdict is msg.Verdict.FAILED
 
 
 def test_free_session_is_moved_off_a_host_that_left_the_list_and_a_paid_one_stays():
@@ -180,18 +182,22 @@
     for service in (0, 1):
         number = service + 1
         sent = one(
-            book.handle(T0, b.ViewerRequest(number, service, 0, 5, 0, 4, 3, 2 * S, "", 60 * S)), b.SendSetUp
+            book.handle(T0, msg.ViewerRequest(number, service, 0, 5, 0, 4, 3, 2 * S, "", 60 * S)),
+            msg.SendSetUp,
+        )
+        book.handle(T0 + 1, msg.HostConnected(sent.server, "p", None, False, T0))
+        book.handle(
+            T0 + 1000, msg.SetUpEnded(sent.session, 0, Evidence.STARTED, msg.HostStatus((), T0 + 900))
         )
-        book.handle(T0 + 1, b.HostConnected(sent.server, "p", None, False, T0))
-        book.handle(T0 + 1000, b.SetUpEnded(sent.session, 0, Evidence.STARTED, b.HostStatus((), T0 + 900)))
         polls[service] = sent
     gone = tuple(
         server_entry(n, ServerState.GONE)
         for n in range(4)
         if server_entry(n).server in {s.server for s in polls.values()}
     )
-    book.handle(T0 + S, b.ServerListUpdate(api.ListKind.DELTA, 2, gone))
-    paid = book.handle(T0 + 2 * S, b.Poll(1, polls[0].session, 9 * S, S))
-    assert one(paid, b.AnswerPoll).server == polls[0].server and not only(paid, b.SendRenewal)
-    free = book.handle(T0 + 2 * S, b.Poll(2, polls[1].session, 9 * S, S))
-    assert not only(free, b.AnswerPoll) and len(one(free, b.SendRenewal).sessions) == 1  # shortens the lease
+    book.handle(T0 + S, msg.ServerListUpdate(api.ListKind.DELTA, 2, gone))
+    paid = book.handle(T0 + 2 * S, msg.Poll(1, polls[0].session, 9 * S, S))
+    assert one(paid, msg.AnswerPoll).server == polls[0].server and not only(paid, msg.SendRenewal)
+    free = book.handle(T0 + 2 * S, msg.Poll(2, polls[1].session, 9 * S, S))
+    # the renewal shortens the lease
+    assert not only(free, msg.AnswerPoll) and len(one(free, msg.SendRenewal).sessions) == 1
