--- a/mintmast/core/service.py
+++ b/mintmast/core/service.py
@@ -165,12 +165,12 @@
         if self._pending_requests.pop(request_id, None) is not None:
             self._handle(msg.RequestCancelled(request_id))
 
-    def poll_session(self, session: str, buffer: int, budget: int, answer: PollCallback) -> int:
-        """Process a player's steering poll and return the poll's id; `buffer` and `budget` in µs."""
+    def poll_session(self, session: str, buffer: int, timeout: int, answer: PollCallback) -> int:
+        """Process a player's steering poll and return the poll's id; `buffer` and `timeout` in µs."""
         self._last_id += 1
         number = self._last_id
         self._poll_callbacks[number] = answer
-        self._handle(msg.Poll(number, self.session_number(session), buffer, budget))
+        self._handle(msg.Poll(number, self.session_number(session), buffer, timeout))
         return number
 
     def cancel_poll(self, poll_id: int) -> None:
--- a/mintmast/decisions/sessions/setups.py
+++ b/mintmast/decisions/sessions/setups.py
@@ -18,8 +18,8 @@
 class SetUps:
     """The set-up attempts of one gateway.
 
-    `last_epoch` is the highest epoch ever used; drills replace `outcome_table`. `record_before` decides
-    whether a recorded attempt may be sent; `on_unrecorded` is called with the end of one that may not.
+    `last_epoch` is the highest epoch ever used; drills replace `outcome_table`. `record_before` records
+    an attempt and then lets it be sent, or not; `on_unrecorded` receives the end of one that may not be sent.
     """
 
     def __init__(
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -40,8 +40,8 @@
     return book
 
 
-def viewer_request(number, service=0, key="", budget=2 * S, title=5):
-    return msg.ViewerRequest(number, service, 0, title, 0, 4, 3, budget, key)
+def viewer_request(number, service=0, key="", timeout=2 * S, title=5):
+    return msg.ViewerRequest(number, service, 0, title, 0, 4, 3, timeout, key)
 
 
 def only(commands, kind):
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -46,7 +46,7 @@
 
 
 def test_audit_detects_a_budget_that_counts_moves_as_requests():
-    class Earning(RetryBudget):
+    class MovesAsRequests(RetryBudget):
         """Counts the request of each move as if a viewer had made it."""
 
         def record_attempt(self, now):
@@ -54,13 +54,13 @@
             self.record_request(now)
 
     steps = [(S // 20, number % 4 == 0, 0) for number in range(100)]
-    assert simulate(steps, Earning(RULE)) and not simulate(steps, RetryBudget(RULE))
+    assert simulate(steps, MovesAsRequests(RULE)) and not simulate(steps, RetryBudget(RULE))
 
 
 def test_rack_drain_in_a_large_fleet_keeps_the_budget():
     """Guards against moves that count as viewers' requests and so raise the budget.
 
-    It takes a fleet of this size (48 hosts, 8 gateways, 84 viewers a second) to make the violation visible.
+    Found with 48 hosts, 8 gateways and 84 viewers a second.
     """
     day = replace(drills.DRILLS["drain-rack"].day, hosts=48, gateways=8, rate=84.0, uplink_kb=7800.0)
     report = drills.run("drain-rack", 777, "memory", day=replace(day, whole_s=14.0))
