--- a/mintmast/core/service.py
+++ b/mintmast/core/service.py
@@ -1,4 +1,4 @@
-"""The core: feeds the session book what happens and carries out its commands. No choice is made here."""
+"""The core: passes events to the session book and executes its commands, without decisions of its own."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from mintmast.loop import Loop
 
 LogFunction = Callable[..., None]
-# epochs for each millisecond of a start number: a gateway that restarts begins above every epoch it ever
-# gave, as long as it sends fewer set-ups a millisecond over its life than this
+# Epochs reserved for each millisecond of a generation number. A restarted gateway starts above every epoch
+# that it has used, as long as each generation sends fewer set-ups per millisecond of its run than this
 EPOCHS_PER_MS = 1 << 10
 
 
@@ -41,9 +41,10 @@
 
 
 class Core:
-    """One gateway's sessions. `decide` is the module's `handle`; `catalogue` names what settings number.
+    """The sessions of one gateway.
 
-    `say(event, **fields)` takes log lines.
+    `decide` is the placement module's `handle`, `catalogue` has the names of what the settings number, and
+    `log(event, **fields)` writes a log line.
     """
 
     def __init__(
@@ -77,13 +78,13 @@
             members,
             catalogue,
         )
-        # figures that the classes of these sessions had when they were asked for, where they changed since
+        # settings of a session's class at the time of its request, if they have changed since
         self._original_classes: dict[int, api.ServiceClass] = {}
-        self._names: dict[int, str] = {}  # of sessions that an earlier life named
+        self._names: dict[int, str] = {}  # of sessions that an earlier generation named
         self._numbers: dict[str, int] = {}
         self._drain_callbacks: dict[bytes, list[Callable[[bool], None]]] = {}
-        self.peers: PeerPort | None = None  # set where there are members
-        self.store: StorePort | None = None  # set where there is one
+        self.peers: PeerPort | None = None  # set if the gateway has peers
+        self.store: StorePort | None = None  # set if the gateway has a store
         self._peer_replies: dict[int, Callable[[claim_messages.PeerReply], None]] = {}
         self._pending_requests: dict[int, _PendingRequest] = {}
         self._poll_callbacks: dict[int, PollCallback] = {}
@@ -114,16 +115,16 @@
         hosts.attach(self)
 
     def start(self, recovered: RecoveredState | None = None) -> None:
-        """Start, with what was kept of earlier lives: hear the list, open the lines to hosts."""
+        """Start, with the records of earlier generations; the list source begins to report hosts."""
         self._execute(self.book.start(self.loop.now(), recovered))
         self.source.start(self._handle_list_update)
 
     def session_name(self, session: int) -> str:
-        """Give a session's name on wires: unique over gateways and their restarts."""
+        """Return a session's name on the wire, unique over all gateways and their restarts."""
         return self._names.get(session) or format_session_name(self.gateway, self.generation, session)
 
     def session_number(self, name: str) -> int:
-        """Give the number of a session of this life, or found by it; 0 for any other name."""
+        """Return the number of a session of this generation or recovered by it; 0 for any other name."""
         if name in self._numbers:
             return self._numbers[name]
         prefix, _, number = name.rpartition("-")
@@ -131,7 +132,7 @@
         return int(number) if is_own and number.isascii() and number.isdigit() and len(number) < 19 else 0
 
     def apply_settings(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings, between two turns; sessions keep the figures that they began with."""
+        """Apply new settings between two events; open sessions keep their class settings."""
         sessions = self.book.sessions.by_number
         self._original_classes = {
             number: each for number, each in self._original_classes.items() if number in sessions
@@ -146,13 +147,13 @@
         self.book.apply_settings(settings, catalogue)
 
     def service_class(self, session: int, index: int) -> api.ServiceClass:
-        """Give the figures of a session's class: those of the time when it was asked for."""
+        """Return the settings of a session's class as of the session's request."""
         return self._original_classes.get(session) or self.settings.classes[index]
 
     # Fronts
 
     def request_session(self, request: msg.ViewerRequest, answer: AnswerCallback) -> int:
-        """Take a viewer's ask, whose number is filled in and given back; `answer` is called once."""
+        """Process a viewer's request and return the id assigned to it; `answer` is called once."""
         self._last_id += 1
         number = self._last_id
         self._pending_requests[number] = _PendingRequest(answer, self.loop.now())
@@ -160,29 +161,29 @@
         return number
 
     def cancel_request(self, request_id: int) -> None:
-        """Take note that nobody waits for the answer any more."""
+        """Cancel a request whose viewer no longer waits for the answer."""
         if self._pending_requests.pop(request_id, None) is not None:
             self._handle(msg.RequestCancelled(request_id))
 
-    def poll_session(self, session: str, buffer: int, budget: int, answer: PollCallback) -> int:
-        """Take a player's question where to go on; `buffer` and `budget` in µs. Gives the poll's number."""
+    def poll_session(self, session: str, buffer: int, timeout: int, answer: PollCallback) -> int:
+        """Process a player's steering poll and return the poll's id; `buffer` and `timeout` in µs."""
         self._last_id += 1
         number = self._last_id
         self._poll_callbacks[number] = answer
-        self._handle(msg.Poll(number, self.session_number(session), buffer, budget))
+        self._handle(msg.Poll(number, self.session_number(session), buffer, timeout))
         return number
 
     def cancel_poll(self, poll_id: int) -> None:
-        """Take note that the player waits no more."""
+        """Cancel a poll whose player no longer waits for the answer."""
         if self._poll_callbacks.pop(poll_id, None) is not None:
             self._handle(msg.PollCancelled(poll_id))
 
     def order_drain(
         self, server: bytes, drain: bool, within: int | None, done: Callable[[bool], None] = lambda good: None
     ) -> bool:
-        """Drain a host by an operator's order, or take that back; False for a host that is on no list.
+        """Order a host to drain or revoke the order; return False if no list has the host.
 
-        It holds at once; `done` hears whether it would outlive this process, where there is a store.
+        The order is in force at once; `done` receives whether it is durable, if there is a store.
         """
         if server not in self.book.host_watch.hosts:
             return False
@@ -196,32 +197,32 @@
     def host_connected(
         self, server: bytes, process: str, uptime: int | None, is_draining: bool, clock: int
     ) -> None:
-        """Take a host's first word."""
+        """Process an established event stream."""
         self.log("host_up", host=server.decode(), process=process, age=uptime, drains=is_draining)
         self.source.record_refusal(server, False)
         self._handle(msg.HostConnected(server, process, uptime, is_draining, clock))
 
     def host_heartbeat(self, server: bytes, clock: int) -> None:
-        """Take a sign of life."""
+        """Process a periodic sign of life."""
         self._handle(msg.HostHeartbeat(server, clock))
 
     def host_disconnected(self, server: bytes, refused: bool) -> None:
-        """Take the end of a line."""
+        """Process a broken event stream or a failed connection attempt."""
         if refused:
             self.source.record_refusal(server, True)
         self._handle(msg.HostDisconnected(server, self._random.random(), refused))
 
     def host_drain_changed(self, server: bytes, is_draining: bool) -> None:
-        """Take a change of the drain state."""
+        """Process a change of the host's drain state."""
         self.log("host_drains", host=server.decode(), drains=is_draining)
         self._handle(msg.HostDrainChanged(server, is_draining))
 
     def host_measured(self, server: bytes, kind: api.NoteKind, value: float) -> None:
-        """Take a share delivered or a use."""
+        """Process a delivered share or a utilisation."""
         self._handle(msg.HostMeasurement(server, kind, value))
 
     def session_ended(self, server: bytes, session: str) -> None:
-        """Take the end of a session."""
+        """Process the end of a session at the host."""
         self._handle(msg.SessionEnded(server, self.session_number(session)))
 
     # Other gateways
@@ -229,13 +230,13 @@
     def handle_call(
         self, call: claim_messages.PeerCall, answer: Callable[[claim_messages.PeerReply], None]
     ) -> None:
-        """Answer another gateway's call, once, when what the answer says is durable."""
+        """Process another gateway's call; `answer` is called once, when what the answer states is durable."""
         self._last_id += 1
         self._peer_replies[self._last_id] = answer
         self._handle(msgspec.structs.replace(call, call_id=self._last_id))
 
     def handle_written(self, event: RecordsWritten) -> None:
-        """Take the end of a write."""
+        """Process the end of a write."""
         self._handle(event)
 
     def handle_reply(
@@ -244,13 +245,13 @@
         | claim_messages.LearnReply
         | claim_messages.ExclusionsAcknowledged,
     ) -> None:
-        """Take the end of a call to another gateway."""
+        """Process the end of a call to another gateway."""
         self._handle(event)
 
     def handle_membership(
         self, event: claim_messages.PeerStatusChanged | claim_messages.ProcessDisqualified
     ) -> None:
-        """Take what membership tells."""
+        """Process an event of the membership protocol."""
         self._handle(event)
 
     # Commands
@@ -291,18 +292,18 @@
             command.clock,
         )
 
-        sent = self.loop.now()
+        sent_at = self.loop.now()
 
-        def done(evidence: Evidence, told: msg.HostStatus) -> None:
+        def done(evidence: Evidence, status: msg.HostStatus) -> None:
             self.log(
                 "attempt",
                 session=set_up.session,
                 attempt=command.attempt,
                 host=command.server.decode(),
                 evidence=evidence.value,
-                took_ms=(self.loop.now() - sent) / 1000,
+                took_ms=(self.loop.now() - sent_at) / 1000,
             )
-            self._handle(msg.SetUpEnded(command.session, command.attempt, evidence, told))
+            self._handle(msg.SetUpEnded(command.session, command.attempt, evidence, status))
 
         self.hosts.set_up(set_up, done)
 
@@ -322,55 +323,69 @@
         )
 
     def _send_termination(self, command: msg.SendTermination) -> None:
-        def done(sure: bool) -> None:
-            self._handle(msg.TerminationAttemptEnded(command.session, command.server, sure))
+        def done(is_confirmed: bool) -> None:
+            self._handle(msg.TerminationAttemptEnded(command.session, command.server, is_confirmed))
 
         self.hosts.end_session(
             command.server, self.session_name(command.session), command.epoch, command.until, done
         )
 
     def _send_renewal(self, command: msg.SendRenewal) -> None:
-        sent = self.loop.now()
-        named = tuple(
+        sent_at = self.loop.now()
+        named_sessions = tuple(
             (self.session_name(session), epoch, rung, self._rate_kb(session, rung))
             for session, epoch, rung in command.sessions
         )
         numbers = tuple(session for session, _, _ in command.sessions)
 
-        def done(answered: bool, arrived: bool, unknown: tuple[str, ...], told: msg.HostStatus) -> None:
-            unknown_sessions = tuple(self.session_number(each) for each in unknown)
+        def done(
+            answered: bool, arrived: bool, unknown_names: tuple[str, ...], status: msg.HostStatus
+        ) -> None:
+            unknown_sessions = tuple(self.session_number(each) for each in unknown_names)
             call = command.call_number
             self._handle(
                 msg.RenewalEnded(
-                    command.server, sent, call, answered, arrived, numbers, unknown_sessions, told
+                    command.server, sent_at, call, answered, arrived, numbers, unknown_sessions, status
                 )
             )
 
         self.hosts.renew_leases(
-            command.server, named, command.lease, command.until, command.call_number, command.clock, done
+            command.server,
+            named_sessions,
+            command.lease,
+            command.until,
+            command.call_number,
+            command.clock,
+            done,
         )
 
     def _send_reconciliation(self, command: msg.SendReconciliation) -> None:
-        sent = self.loop.now()
-        named = {self.session_name(session): epoch for session, epoch in command.sessions}
+        sent_at = self.loop.now()
+        named_sessions = {self.session_name(session): epoch for session, epoch in command.sessions}
 
-        def done(since: int, words: tuple[tuple[str, HostReport, int], ...], told: msg.HostStatus) -> None:
+        def done(
+            memory_since: int, reports: tuple[tuple[str, HostReport, int], ...], status: msg.HostStatus
+        ) -> None:
             received = tuple(
-                (self.session_number(name), word, rung) for name, word, rung in words if name in named
+                (self.session_number(name), report, rung)
+                for name, report, rung in reports
+                if name in named_sessions
             )
             self._handle(
-                msg.ReconciliationEnded(command.server, sent, command.call_number, since, received, told)
+                msg.ReconciliationEnded(
+                    command.server, sent_at, command.call_number, memory_since, received, status
+                )
             )
 
-        what = command.lease, command.until, command.call_number, command.clock
-        self.hosts.reconcile_sessions(command.server, named, *what, done)
+        call_parameters = command.lease, command.until, command.call_number, command.clock
+        self.hosts.reconcile_sessions(command.server, named_sessions, *call_parameters, done)
 
     def _name_session(self, command: msg.SessionNamed) -> None:
         self._names[command.session], self._numbers[command.name] = command.name, command.session
 
     def _confirm_drain(self, command: msg.DrainRecorded) -> None:
         callbacks = self._drain_callbacks.get(command.server)
-        if callbacks:  # one word for each order, in the order in which they were given
+        if callbacks:  # each order is confirmed once, in the sequence in which they were given
             callbacks.pop(0)(command.is_durable)
         if not callbacks:
             self._drain_callbacks.pop(command.server, None)
--- a/mintmast/decisions/sessions/actions.py
+++ b/mintmast/decisions/sessions/actions.py
@@ -1,4 +1,4 @@
-"""What the module decides is carried out: each of its actions becomes a step of a session or a command."""
+"""Executes the placement module's actions: each one becomes a transition of a session or a command."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class SessionCallbacks(Protocol):
-    """What the module's actions ask of the book."""
+    """The book's operations that the module's actions trigger."""
 
     def send_set_up(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
-        """Send a session to the host that the module has chosen."""
+        """Send a session's set-up to the host that the module has chosen."""
 
     def close(
         self,
@@ -29,11 +29,14 @@
         retry_after: int = 0,
         reason: str = "",
     ) -> None:
-        """End a session, and answer those who wait."""
+        """Close a session and answer its pending requests."""
 
 
 class ActionExecutor:
-    """Between the book and the module; `decide` is the module's `handle`, `emit` takes commands."""
+    """Connects the book with the module; `emit` receives commands.
+
+    `handle_module_event` is the module's `handle`.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self._sessions, self._set_ups, self._moves = sessions, set_ups, active_moves
 
     def dispatch(self, now: int, event: api.Event) -> None:
-        """Hand an event in and carry the actions out; what they cause is handed in after."""
+        """Pass an event to the module and execute its actions, then do the same for the events they cause."""
         events = deque([event])
         while events:
             for action in self._handle_module_event(now, events.popleft()):
@@ -66,13 +69,13 @@
                     session.rung = rung
                     if session.is_playing and session.server is not None:
                         self._emit(SendRung(request, session.server, rung, session.epoch))
-            case api.Refuse(request, advice):
+            case api.Refuse(request, retry_after):
                 session = self._sessions.get(request)
-                if session is not None:  # what may have run is never called refused, whoever says so
+                if session is not None:  # a session that may have run is never reported as refused
                     reason = session.refusal_reason or "no room"
                     may_have_run = session.stage is Stage.SPENT
                     self._callbacks.close(
-                        now, session, Verdict.FAILED if may_have_run else Verdict.REFUSED, advice, reason
+                        now, session, Verdict.FAILED if may_have_run else Verdict.REFUSED, retry_after, reason
                     )
             case api.Fail(request):
                 session = self._sessions.get(request)
@@ -89,11 +92,11 @@
                     self._emit(FetchServerList(subscribe=True))
             case api.FetchList():
                 self._emit(FetchServerList())
-            case api.Probe(server):  # not offered: the settings say so, and it is answered as not sent
+            case api.Probe(server):  # probes are not supported; the settings say so
                 return api.ProbeResult(server, Outcome.NOT_SENT, 0)
             case api.Log(text):
                 self._emit(LogEvent("module", (("text", text),)))
-            case _:  # CloseIdle: connections close by themselves when idle. SendToPeers: no peers yet
+            case _:  # CloseIdle: idle connections close by themselves. SendToPeers: not supported
                 pass
         return None
 
--- a/mintmast/decisions/sessions/book.py
+++ b/mintmast/decisions/sessions/book.py
@@ -1,12 +1,13 @@
-"""The session book: between viewers' asks, hosts' replies and the module's events and actions.
+"""The session book: maps viewers' requests, hosts' replies and the placement module's actions to commands.
 
-Pure: `take(now, input)` gives the commands that follow. It stands between the module, which decides
-placement, and the network, and keeps what neither can: one answer for each ask, one attempt out for a
-session, an end for every session that a host may hold and nobody wants, and the lease of each one that plays.
+It is pure: `handle(now, event)` returns the resulting commands. It connects the module, which decides
+placement, with the network, and keeps the guarantees that neither can keep: one answer for each request, at
+most one attempt under way for a session, the termination of every session that a host may hold and no viewer
+wants, and the lease of each playing session.
 
-The book itself only routes: an input goes to the part that owns what it is about, and what follows from one
-part for another is written down here, once. The parts are `asks`, `keys`, `sessions`, `setups`, `leases`,
-`ends`, `moving`, `claims` and `fleet`; `docs/architecture.md` has them all.
+The book only routes: an event goes to the part that owns its subject, and the effects of one part on another
+are stated here, in one place. The parts are `requests`, `keys`, `sessions`, `setups`, `leases`,
+`terminations`, `active_moves`, `claims` and `fleet`; `docs/architecture.md` describes them all.
 """
 
 from __future__ import annotations
@@ -66,14 +67,17 @@
 from mintmast.decisions.sessions.terminations import Terminations
 from mintmast.interface import Outcome
 
-# µs after a session's deadline; the book answers by itself if its attempt's end was never told: a hole in the
-# network code must not cost a viewer his answer, and it must not come before the adapter's own timer
+# µs after a session's deadline at which the book itself answers if no end of the attempt was reported. A bug
+# in the network code must not cost a viewer the answer, and the adapter's own timer must expire first
 ANSWER_BACKSTOP_US = 5_000
 EMPTY_CATALOGUE = Catalogue()
 
 
 class SessionBook:
-    """The book of one gateway. `decide` is the module's `handle`; `lease` the length of a lease in µs."""
+    """The session book of one gateway.
+
+    `handle_module_event` is the module's `handle`, `lease_length` the length of a lease in µs.
+    """
 
     def __init__(
         self,
@@ -96,8 +100,8 @@
             Terminations(lease_length, self._emit),
         )
         self.claims = Claims(gateway, generation, members, self._emit, self._handle_claim_decided)
-        self.keeper = self.claims.witness_service.record_writer
-        self.intents = Intents(self.keeper, self.claims, catalogue, gateway, generation)
+        self.record_writer = self.claims.witness_service.record_writer
+        self.intents = Intents(self.record_writer, self.claims, catalogue, gateway, generation)
         self.set_ups = SetUps(
             self.leases,
             self.terminations,
@@ -127,7 +131,7 @@
             self.intents,
             self._emit,
         )
-        self.orders = OperatorOrders(self.fleet, self.keeper, self._emit)
+        self.orders = OperatorOrders(self.fleet, self.record_writer, self._emit)
         self.handlers: dict[type, Callable] = {
             ViewerRequest: self._handle_request,
             RequestCancelled: self._handle_request_cancelled,
@@ -150,7 +154,7 @@
             ),
             PeerStatusChanged: self._handle_peer_state,
             ProcessDisqualified: lambda now, e: self.claims.witness_service.disqualify(now, e),
-            RecordsWritten: lambda now, e: self.keeper.handle_written(now, e),
+            RecordsWritten: lambda now, e: self.record_writer.handle_written(now, e),
             ReconciliationEnded: lambda now, e: self.recovery.handle_reconciliation_ended(now, e),
             DrainOrdered: self.orders.handle_drain_order,
             ServerListUpdate: self._handle_list_update,
@@ -158,7 +162,7 @@
         }
 
     def start(self, now: int, recovered: RecoveredState | None = None) -> list[Command]:
-        """Begin, with what was kept of earlier lives where there is a store; the first call."""
+        """Start, with the records of earlier generations if there is a store; must be the first call."""
         self._commands = []
         self.claims.witness_service.start(now, recovered)
         if recovered is not None:
@@ -168,26 +172,26 @@
         return self._commands
 
     def handle(self, now: int, event: object) -> list[Command]:
-        """Take one input at time `now` and give the commands that follow."""
+        """Process one event at time `now` and return the resulting commands."""
         self._commands = []
         self.handlers[type(event)](now, event)
         return self._commands
 
     def apply_settings(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings, between two inputs; what numbers stand for does not change by it."""
+        """Apply new settings between two events; class, tenant and title numbers keep their meaning."""
         self.settings = settings
         self.intents.use_catalogue(catalogue)
         self.moves.apply_settings(settings)
         self.recovery.apply_settings(settings, catalogue)
 
     def has_session(self, key: str, title: int) -> bool:
-        """Tell whether a session of this title is under way or plays for a key."""
+        """Return whether a session of this title is being set up or plays for a key."""
         session = self.sessions.get(self.keys.holder(key)) if key else None
         return session is not None and session.request.title == title
 
     @property
     def held(self) -> int:
-        """Sessions under way or playing."""
+        """Number of sessions that are being set up or play."""
         return len(self.sessions.by_number)
 
     def _emit(self, command: Command) -> None:
@@ -211,7 +215,7 @@
                 self.pending_requests.add(now, session, request)
                 return
         if self.keys.is_used(now, request.key) or (session is not None and not session.is_free):
-            # The key of a paid session that may have run, or runs for another title: not a second charge.
+            # the paid session may have run, or runs for another title: a second set-up would charge twice
             self._emit(AnswerRequest(request.request_id, Verdict.FAILED, reason="this key has been spent"))
             return
         session = self.sessions.open(
@@ -222,7 +226,7 @@
         self.retry_budget.record_request(now)
         self._emit(ScheduleTimer(session.deadline + ANSWER_BACKSTOP_US, ("late", session.number)))
         if request.key and not session.is_free and self.claims.enabled:
-            # half of the viewer's time at most, so that the other half is left for the set-up
+            # at most half of the viewer's timeout, which leaves the other half for the set-up
             self.claims.claim_key(
                 now, session.number, request.key, request.length, now + request.timeout // 2
             )
@@ -230,11 +234,12 @@
             self._place_or_fail(now, session)
 
     def _handle_claim_decided(self, now: int, number: int, failure: str) -> None:
-        """Go on with a session whose key is claimed, or end it."""
+        """Place a session whose key claim succeeded, or close it; `failure` is the reason, "" for success."""
         session = self.sessions.get(number)
         if session is None:
             return
-        if failure == NO_QUORUM_REASON:  # nobody here can tell whose the key is; it may be told elsewhere
+        if failure == NO_QUORUM_REASON:
+            # the key's owner cannot be determined here, but perhaps at another gateway
             self.pending_requests.answer_all(session, Verdict.FAILED, reason=failure, try_elsewhere=True)
         if failure or not session.waiting_requests or now >= session.deadline:
             self.close(now, session, Verdict.FAILED, reason=failure or "time is up")
@@ -243,14 +248,13 @@
 
     def _place_or_fail(self, now: int, session: Session) -> None:
         self.request_placement(now, session)
-        if (
-            session.waiting_requests and not session.has_attempt_out
-        ):  # the module must have sent it or ended it: see rule 1
+        if session.waiting_requests and not session.has_attempt_out:
+            # the module must have sent or closed it by rule 1
             self._emit(LogEvent("unanswered", (("session", session.number),)))
             self.close(now, session, Verdict.FAILED, reason="undecided")
 
     def request_placement(self, now: int, session: Session) -> None:
-        """Ask the module where the session plays."""
+        """Request a host for the session from the module."""
         viewer_request = session.request
         request = api.SessionRequest(
             session.number,
@@ -272,7 +276,7 @@
 
     def _cancel_unwatched(self, now: int, session: Session | None) -> None:
         if session is not None and self.recovery.is_unsettled(session.number):
-            return  # its host is asked whoever waits
+            return  # its host is queried whether or not a viewer waits
         if session is not None and session.has_attempt_out:
             self.dispatch(now, api.ViewerGone(session.number))
         elif session is not None and self.claims.is_pending(session.number):
@@ -286,8 +290,8 @@
         retry_after: int = 0,
         reason: str = "",
     ) -> None:
-        """End a session: answer those who wait, forget it, keep the key that must not run again."""
-        if session.has_attempt_out:  # nobody may be left out there without an end
+        """Close a session: answer its requests, remove it and retain a key that must not run again."""
+        if session.has_attempt_out:  # no attempt may stay at a host without a termination
             self.set_ups.give_up(now, session, Signal.CALLED_OFF)
         if session.stage is not Stage.OVER:
             session.apply_signal(Signal.ENDED if session.is_playing else Signal.CLOSED)
@@ -304,13 +308,13 @@
     # The module
 
     def dispatch(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
         self.actions.dispatch(now, event)
 
     # Attempts
 
     def send_set_up(self, now: int, session: Session, server: bytes, timeout_at: int) -> None:
-        """Send a session to the host that the module has chosen."""
+        """Send a session's set-up to the host that the module has chosen."""
         if session.stage is Stage.ASKED and self.moves.hold_place(session.number, server, timeout_at):
             return
         if session.attempts:
@@ -318,7 +322,7 @@
         self.set_ups.send(now, session, server, timeout_at, self.moves.moved_from(session.number))
 
     def send_moved(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
-        """Send a moved session to the host that was held for it."""
+        """Send a moved session's set-up to the host where a place was held for it."""
         self.keys.hold(session.request.key, session.number)
         self._emit(ScheduleTimer(session.deadline + ANSWER_BACKSTOP_US, ("late", session.number)))
         self.set_ups.send(now, session, server, timeout_at, moved_from)
@@ -328,23 +332,23 @@
         if event.evidence is Evidence.UNRECORDED and session is not None:
             session.refusal_reason = "records cannot be written"
             self._emit(LogEvent("unrecorded", (("session", session.number),)))
-        row = self.set_ups.record_end(now, session, event)
-        if row is None or session is None or session.server is None:
+        outcome_row = self.set_ups.record_end(now, session, event)
+        if outcome_row is None or session is None or session.server is None:
             return
         server, duration, load = session.server, now - session.sent_at, event.status.load
         unwatched = not session.waiting_requests and not self.moves.is_move_target(session.number)
-        if row.outcome is None and unwatched:
+        if outcome_row.outcome is None and unwatched:
             self.set_ups.give_up(now, session, Signal.UNWATCHED)
             self.close(now, session)
             attempt_end = api.AttemptEnd(
                 event.session, event.attempt, server, Outcome.SERVED, duration, True, load
             )
             self.dispatch(now, attempt_end)
-        elif row.outcome is None:
+        elif outcome_row.outcome is None:
             self._handle_started(now, session, server, duration, load)
         else:
             attempt_end = api.AttemptEnd(
-                event.session, event.attempt, server, row.outcome, duration, unwatched, load
+                event.session, event.attempt, server, outcome_row.outcome, duration, unwatched, load
             )
             self.dispatch(now, attempt_end)
             if self.sessions.get(event.session) is not None and not session.has_attempt_out:
@@ -370,22 +374,22 @@
         self.pending_requests.answer_all(session, Verdict.PLAYS)
 
     def resume_session(self, now: int, session: Session) -> None:
-        """Let a session of an earlier life that plays go on, and answer those who wait."""
+        """Resume a session of an earlier generation that still plays and answer its pending requests."""
         self._mark_playing(now, session, session.server or b"")
 
     def end_unwatched(self, now: int, session: Session) -> None:
-        """End a session of an earlier life that plays and that nobody watches."""
+        """Terminate a session of an earlier generation that still plays but has no viewer."""
         self.set_ups.give_up(now, session, Signal.UNWATCHED)
         self.close(now, session)
         server, number = session.server or b"", session.number
         self.dispatch(now, api.AttemptEnd(number, 0, server, Outcome.CANCELLED, 0, True))
 
     def record_end(self, now: int, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """Book that a playing session is over at its host."""
+        """Record that a playing session has ended at its host."""
         server, attempt = session.server or b"", session.attempts - 1
         self.close(now, session)
         self.dispatch(now, api.AttemptEnd(session.number, attempt, server, outcome, 0, True, load))
-        # reset: its process is gone, so it is as surely over as if the host had said so
+        # RESET: the host's process is gone, which is as certain an end as a report by the host
         died = outcome is Outcome.RESET
         self.moves.handle_session_over(
             now, session.number, moves.Signal.OLD_DIED if died else moves.Signal.LEFT
@@ -402,7 +406,7 @@
         self.claims.witness_service.handle_peer_status(now, event)
         self.orders.handle_peer_state(now, event)
 
-    # Ends and leases
+    # Terminations and leases
 
     def _handle_termination_attempt_ended(self, now: int, event: TerminationAttemptEnded) -> None:
         if not self.terminations.is_pending(event):
@@ -433,15 +437,17 @@
         if not self.sessions.playing_at(server):
             self.leases.stop_renewing(server)
             return
-        staying = [
+        staying_sessions = [
             each
             for each in self.sessions.playing_at(server).values()
             if not self.moves.is_moving(each.number)
         ]
-        for session in self.leases.expired(now, staying):
+        for session in self.leases.expired(now, staying_sessions):
             self.record_end(now, session, Outcome.RESET)
-        here = self.sessions.playing_at(server).values()
-        self.leases.renew_all(now, server, [each for each in here if not self.moves.is_moving(each.number)])
+        playing_sessions = self.sessions.playing_at(server).values()
+        self.leases.renew_all(
+            now, server, [each for each in playing_sessions if not self.moves.is_moving(each.number)]
+        )
 
     def _handle_timer(self, now: int, event: TimerFired) -> None:
         match event.token:
--- a/mintmast/decisions/sessions/fleet.py
+++ b/mintmast/decisions/sessions/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as the module hears it: hosts' words, the list and operators' orders become entries and notes."""
+"""Turns hosts' events, list updates and operators' orders into list entries and notes for the module."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class FleetCallbacks(Protocol):
-    """What the fleet asks of the book."""
+    """The book's operations that the fleet calls."""
 
     def dispatch(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def record_end(self, now: int, session: Session, outcome: Outcome) -> None:
-        """Book that a playing session is over at its host."""
+        """Record that a playing session has ended at its host."""
 
 
 class Fleet:
-    """What one gateway believes of its hosts; `emit` takes commands."""
+    """One gateway's view of its hosts; `emit` receives commands."""
 
     def __init__(
         self,
@@ -51,35 +51,35 @@
         self._version = 0
 
     def handle_connected(self, now: int, event: HostConnected) -> None:
-        """Take a host's first word on a new line."""
+        """Process the establishment of a host's event stream."""
         changed, is_new_process = self.watch.handle_hello(
             now, event.server, event.process, event.uptime, event.is_draining
         )
         self._leases.record_reading(event.server, event.clock, now, None)
         self._queue_entries(now, changed)
-        if is_new_process:  # what played in the old process ended with it
+        if is_new_process:  # the sessions of the previous process ended with it
             for session in list(self._sessions.playing_at(event.server).values()):
                 if session.sent_at < now - (event.uptime or 0):
                     self._callbacks.record_end(now, session, Outcome.RESET)
 
     def handle_disconnected(self, now: int, event: HostDisconnected) -> None:
-        """Take the end of a line, or a try in vain."""
+        """Process a broken event stream or a failed connection attempt."""
         changed, retry_at = self.watch.handle_connection_lost(
             now, event.server, event.random_fraction, event.refused
         )
         self._queue_entries(now, changed)
-        if event.refused:  # no process is there: what played in it is over, and if not, its lease will end it
+        if event.refused:  # no process listens: its sessions have ended, and if not, their leases will expire
             for session in list(self._sessions.playing_at(event.server).values()):
                 self._callbacks.record_end(now, session, Outcome.RESET)
         self.handover.schedule_reopen(event.server, retry_at)
 
     def handle_measurement(self, now: int, event: HostMeasurement) -> None:
-        """Take a share delivered or a use."""
+        """Pass a delivered share or a utilisation to the module."""
         number = next(iter(self._sessions.playing_at(event.server)), 0)
         self._callbacks.dispatch(now, api.Note(number, event.server, event.kind, event.value))
 
     def handle_list_update(self, now: int, event: ServerListUpdate) -> None:
-        """Take news from the list."""
+        """Process an update of the server list."""
         if event.kind is ListKind.FAILED:
             self._callbacks.dispatch(now, api.ServerList(ListKind.FAILED, self._version))
             return
@@ -102,16 +102,16 @@
                     self._moves.signal(now, number, moves.Signal.TAKEN_BACK)
 
     def handle_drain_changed(self, now: int, event: HostDrainChanged) -> None:
-        """Take a host's word that it drains, or drains no more."""
+        """Process a host's report that it started or stopped draining."""
         self._queue_entries(now, self.watch.handle_drain(event.server, event.is_draining))
 
     def send_next_slice(self, now: int) -> None:
-        """Hand the next slice of a long list over."""
+        """Pass the next slice of a long list to the module."""
         self._send_entries(now, self.handover.next_slice())
         self.handover.schedule_next_slice(now)
 
     def handle_drain_order(self, now: int, event: DrainOrdered) -> None:
-        """Take an operator's order to drain, or its end."""
+        """Apply an operator's order to drain a host, or its revocation."""
         self.drains.handle(now, event)
         self._queue_entries(now, self.watch.handle_drain_order(event.server, event.drain))
         if event.drain:
--- a/mintmast/decisions/sessions/leases.py
+++ b/mintmast/decisions/sessions/leases.py
@@ -1,7 +1,7 @@
-"""Leases of all sessions: readings of hosts' clocks, the calls that give leases, renewals.
+"""The leases of all sessions: readings of hosts' clocks, calls that grant leases, and renewals.
 
-The arithmetic stands in `lease.py`; this part numbers the calls, so that a host can pass over old ones, and
-knows when which host is asked again.
+`lease.py` has the arithmetic. This part numbers the calls, so that a host can ignore outdated ones, and
+schedules the renewals of each host.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from mintmast.decisions.sessions.lease import HostClock, Lease, renewal_interval
 from mintmast.decisions.sessions.sessions import Session
 
-# sessions in one renewal: some 20 kB, well under what a host takes as a body, and no long turn for either
-# side
+# Sessions in one renewal: about 20 kB, well below the body size that a host accepts, and short to process on
+# both sides
 MAX_SESSIONS_PER_RENEWAL = 200
 
 
@@ -28,7 +28,7 @@
         self._renewed_hosts: set[bytes] = set()
 
     def record_reading(self, server: bytes, reading: int, now: int, sent_at: int | None) -> None:
-        """Take a reading of a host's clock, in answer to a call sent at `asked` or (None) by itself."""
+        """Record a reading of a host's clock, in reply to a call sent at `sent_at` or (None) unsolicited."""
         if reading >= 0:
             clock = self._clocks.get(server)
             if clock is None:
@@ -36,16 +36,16 @@
             clock.record_reading(reading, now, sent_at)
 
     def last_reading(self, server: bytes) -> int:
-        """Give the last reading of a host's clock in µs, -1 for none."""
+        """Return the last reading of a host's clock in µs, -1 for none."""
         clock = self._clocks.get(server)
         return clock.reading if clock is not None else -1
 
     def begin_reconciliation(self, now: int, server: bytes, sessions: list[Session]) -> tuple[int, int]:
-        """Book a question that gives leases to those which play; give its number and the reading it names."""
+        """Record a query that grants leases to playing sessions; return its call number and clock reading."""
         return self._record_call(now, server, sessions, self.length)
 
     def begin_set_up(self, now: int, server: bytes, session: Session) -> tuple[int, int]:
-        """Book the set-up of a session; give the call's number and the reading that it names."""
+        """Record the set-up of a session; return its call number and clock reading."""
         session.lease = Lease()
         return self._record_call(now, server, [session], self.length)
 
@@ -58,7 +58,7 @@
         return self._last_call, self.last_reading(server)
 
     def record_started(self, now: int, server: bytes, session: Session) -> None:
-        """Book that a host runs a session, and see to its renewals."""
+        """Record that a host runs a session, and schedule the host's renewals."""
         lease = session.lease
         if lease is not None:
             lease.record_answer(lease.calls[-1].number)
@@ -66,30 +66,30 @@
             self._renewed_hosts.add(server)
             self._emit(ScheduleTimer(now + self._interval, ("renew", server)))
         if lease is not None and lease.held_until - now < 2 * self._interval:
-            # the reading was old when the set-up was sent; the reply brought a fresh one
+            # the reading was old when the set-up was sent; the reply has brought a newer one
             self.restore(now, server, session)
 
     def restore(self, now: int, server: bytes, session: Session) -> None:
-        """Give one session its usual lease (again)."""
+        """Renew one session's lease for the usual length at once."""
         self.renew(now, server, [session], now + self._interval, self.length)
 
     def renew(self, now: int, server: bytes, sessions: list[Session], until: int, length: int) -> int:
-        """Renew these sessions' leases at a host for `length`; give the call's number."""
+        """Renew the leases of these sessions at a host for `length` µs; return the call's number."""
         number, clock = self._record_call(now, server, sessions, length)
         renewed = tuple((each.number, each.epoch, each.rung) for each in sessions)
         self._emit(SendRenewal(server, renewed, until, number, clock, length))
         return number
 
     def expired(self, now: int, sessions: Iterable[Session]) -> list[Session]:
-        """Give those of a host's sessions whose lease is over: unreachable for longer than it lasts."""
+        """Return the sessions whose lease has expired because their host was unreachable for longer."""
         return [each for each in sessions if each.lease is not None and now >= each.lease.expires_at]
 
     def renew_all(self, now: int, server: bytes, sessions: Iterable[Session]) -> None:
-        """Renew what plays at a host and is not on the move, and wake again.
+        """Renew the leases of a host's sessions that are not moving, and schedule the next renewal.
 
-        Danger: a host that answers nothing may still take renewals, so its leases would never be over. Also
-        guards against answers lost on the way. A lease not surely held any more is left to run out. May hurt
-        when a host is silent for a lease and then goes on: its sessions have ended.
+        A host whose replies are lost may still process renewals, so that its leases would never expire. A
+        lease that the host may no longer hold is therefore not renewed and left to expire. The cost: if a
+        host is silent for the length of a lease and then recovers, its sessions have ended.
         """
         held_sessions = [each for each in sessions if each.lease is not None and now < each.lease.held_until]
         for first in range(0, len(held_sessions), MAX_SESSIONS_PER_RENEWAL):
@@ -98,11 +98,11 @@
         self._emit(ScheduleTimer(now + self._interval, ("renew", server)))
 
     def stop_renewing(self, server: bytes) -> None:
-        """Wake no more for a host where nothing plays."""
+        """Stop the renewals of a host that has no playing sessions."""
         self._renewed_hosts.discard(server)
 
     def record_renewal(self, session: Session, event: RenewalEnded) -> None:
-        """Book what became of a renewal for a session that the host did not call unknown."""
+        """Record the result of a renewal for a session that the host did not report as unknown."""
         if session.lease is None:
             return
         if event.answered:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The attempts' budget: what a gateway counts and what an observer of the hosts may conclude from it."""
+"""Tests the retry budget: what a gateway counts, and what an observer of the hosts may conclude from it."""
 
 from dataclasses import replace
 
@@ -19,7 +19,10 @@
 
 
 def simulate(steps, gate):
-    """Viewers ask or further attempts are wished for; those that the gate lets through arrive later."""
+    """Simulate viewers' requests and further attempts; return the violations seen by an observer of arrivals.
+
+    Attempts that the budget allows arrive at a host with a delay.
+    """
     rows, now = [], 0
     for number, (gap, asks, under_way) in enumerate(steps):
         now += gap
@@ -43,19 +46,22 @@
 
 
 def test_audit_detects_a_budget_that_counts_moves_as_requests():
-    class Earning(RetryBudget):
-        """As it was: a move's request counted like a viewer's."""
+    class MovesAsRequests(RetryBudget):
+        """Counts the request of each move as if a viewer had made it."""
 
         def record_attempt(self, now):
             super().record_attempt(now)
             self.record_request(now)
 
     steps = [(S // 20, number % 4 == 0, 0) for number in range(100)]
-    assert simulate(steps, Earning(RULE)) and not simulate(steps, RetryBudget(RULE))
+    assert simulate(steps, MovesAsRequests(RULE)) and not simulate(steps, RetryBudget(RULE))
 
 
 def test_rack_drain_in_a_large_fleet_keeps_the_budget():
-    """48 hosts, 8 gateways, 84 viewers a second: moves were counted as requests that earn attempts."""
+    """Guards against moves that count as viewers' requests and so raise the budget.
+
+    Found with 48 hosts, 8 gateways and 84 viewers a second.
+    """
     day = replace(drills.DRILLS["drain-rack"].day, hosts=48, gateways=8, rate=84.0, uplink_kb=7800.0)
     report = drills.run("drain-rack", 777, "memory", day=replace(day, whole_s=14.0))
     seen = report["rules"]["budget"]
