--- a/mintmast/decisions/gateways/members.py
+++ b/mintmast/decisions/gateways/members.py
@@ -1,11 +1,12 @@
-"""Who of the region's gateways is there: probes, suspicion, refutation, and what others told.
+"""Failure detection among the gateways of a region: probes, suspicion, refutation and gossiped updates.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2017): each gateway
-probes one other a period, first itself, then through helpers and over TCP, and passes on what it heard with
-the words that it sends anyway. The changes: nobody is taken out by one observer's word, however long it
-stands; a gateway that stood still accuses nobody; unreachable is never dead (`standing.py`).
+The protocol is SWIM (Das, Gupta, Motivala 2002) with the local health of Lifeguard (Dadgar, Phillips, Currey
+2017). In each period a gateway probes one other, first directly, then through other gateways and over TCP,
+and piggybacks updates on the messages that it sends anyway. It differs in three points: the word of one
+observer never makes a member unreachable, however long the suspicion lasts; a gateway whose process was
+paused suspects nobody; and unreachable never becomes dead by itself (`member_status.py`).
 
-Pure: `take(now, event)` gives commands; times in µs, random numbers from the generator handed in.
+Pure: `handle(now, event)` returns commands. Times are in µs; the random generator is passed in.
 """
 
 from __future__ import annotations
@@ -56,49 +57,50 @@
 )
 
 MS, SECOND = 1000, 1_000_000
-# µs that a probe has in all, first itself and then through others; half a second finds a loss within the time
-# that a paid viewer waits
+# length of a probe, direct and indirect parts together: half a second detects a failure within the time that
+# a paid viewer waits
 PERIOD = 500 * MS
-# µs for an answer before others are asked: a round trip in a region and a turn of a busy loop. The next probe
-# goes after so long where the last was answered and there is news, and after a whole period otherwise
+# time for a direct answer before the indirect probes: a round trip in a region and one turn of a busy loop.
+# The next probe starts after this time if the last was answered and there are updates to send, else after a
+# period
 ANSWER = 150 * MS
-# who are asked to probe in this gateway's place, as in SWIM: with a fifth of all datagrams lost, all three
-# fail for a gateway that is well once in fourteen times
+# gateways asked to probe on this one's behalf, as in SWIM: with a fifth of all datagrams lost, all three fail
+# for a healthy member once in fourteen probes
 HELPERS = 3
-# observers that must hear nothing before a gateway is taken for unreachable, where there are so many: a
-# single machine's trouble, or two on one broken switch, take out nobody
+# observers required before a member counts as unreachable, if there are that many: a fault on one machine, or
+# on two behind one broken switch, makes nobody unreachable
 OBSERVERS = 3
-# µs for which a suspicion stands at the least, so that the suspected has a chance to say that it lives
+# least duration of a suspicion, so that the suspected member has time to refute it
 SUSPECTED_FOR = 2 * PERIOD
-# times that news is passed on, for each doubling of the number of gateways; SWIM's lambda
+# transmissions of an update for each doubling of the number of gateways; SWIM's lambda
 SPREAD = 3
-# µs by which a wake may be late before this process counts as having stood still: longer than any turn of a
-# healthy loop, shorter than what a probe waits
+# a timer that is late by more than this means that the process was paused: longer than any turn of a healthy
+# loop, shorter than the wait of a probe
 STOOD_STILL = 200 * MS
-# others to be heard after a stand-still, where half of the region is more: what they say is all the region's
-# news, and so many do not all share one cut
+# members to hear from after a pause, where half of the region is more: together they know all recent updates
+# of the region, and so many are not all behind one partition
 HEARD_ENOUGH = 5
-# µs after a word of one who holds the region to stand otherwise in which all is passed on in turn, and probes
-# go fast: the next such word comes sooner, if they still differ
+# time after a message with another digest in which old updates are sent in turn and probes go fast; if the
+# two still differ, the next such message arrives sooner
 APART = 2 * PERIOD
-# words in a row that tell this gateway's own digest, after which it has no news: were one in four behind, one
-# time in ten, and those who are show it by theirs
+# consecutive messages with this gateway's own digest after which it drops its pending updates. If one member
+# in four were behind, this would happen one time in ten, and those members announce it by their digests
 AGREED = 8
-# how much further an answer's old news begins for each question: some fewer than a word takes, as what is new
-# goes first
+# distance between the first old updates of consecutive answers: a few less than a message holds, because new
+# updates go first
 STRIDE = 8
-# steps of own slowness, each of which makes time-outs longer by one: Lifeguard's bound
+# limit of the local health penalty, each step of which lengthens the timeouts by one: Lifeguard's bound
 MOST_SLOW = 8
-# of so many probes at the most one goes to a gateway that is not reached, so that its return is noticed; and
-# of all the region's in a period so many go to each of them, once this one has been through its first round.
-# Danger: were it always one in four, a machine that comes back has words of thousands in its first second
+# at most one probe in so many goes to a member that is not present, so that its return is noticed; and all
+# gateways together send it so many in a period, once this gateway has finished its first round. With always
+# one in four, a returning machine would receive messages from thousands of gateways in its first second
 RETURN_EVERY, RETURNS = 4, 1.0
-# who probe a gateway before its turn where somebody suspects it, some of all: the observers that it takes,
-# and some more as a few are late. Danger: all who hear of it at once, and it is one that was only slow
+# gateways that probe a suspected member out of turn: the required observers and a few more, as some are late.
+# If all that learn of a suspicion did so at once, they would flood a member that is often only slow
 VERIFIERS = 12
-# a word's fields that tell no head and bring nothing; see `words.HeadedWord`
+# fields of a message that announces no revision and carries none; see `GossipWithRevision`
 NO_HEAD = -1, 0, 0, ()
-# answers in a row after which a path that was broken counts as whole again, so that a flapping one does not
+# consecutive direct answers after which a broken path counts as working again; one alone would let it flap
 WHOLE_AFTER = 4
 
 
@@ -113,7 +115,7 @@
 
 
 class Members:
-    """One gateway's part. `names` are all gateways of the region, itself among them; `place`: see `Word`."""
+    """Membership as one gateway sees it; `names` are all gateways of the region, itself included."""
 
     def __init__(
         self, name: str, start: int, names: tuple[str, ...], rng: random.Random, place: str = ""
@@ -123,59 +125,59 @@
         self.others = {each: Member(each) for each in sorted(names) if each != name}
         self._names = tuple(self.others)
         self._suspects: dict[str, None] = {}
-        self._lost = dict.fromkeys(self._names)  # those neither alive nor suspected
-        self._unheard = dict.fromkeys(self._names)  # and those of whom nothing was ever heard
+        self._lost = dict.fromkeys(self._names)  # members neither alive nor suspected
+        self._unheard = dict.fromkeys(self._names)  # those of them that were never heard from
         self.slow = 0
-        self.condemned = ""  # why this process must not act under its name any more
+        self.condemned = ""  # why this process must no longer act under its name
         self.dropped = dict.fromkeys(("foreign", "old", "doubled", "bad state"), 0)
-        self.words = 0  # that were sent
-        self.rumour: Rumour | None = None  # of the configuration in force; None where it is not shared
-        self._wait: set[str] | None = set()  # who was heard since this process stood still; None: enough
-        self._waits = 0  # whole periods of that
+        self.words = 0
+        self.rumour: Rumour | None = None  # None if the configuration is not shared
+        self._wait: set[str] | None = set()  # members heard since a pause; None when there were enough
+        self._waits = 0  # periods since the pause
         self._probe: _Probe | None = None
-        self._relays: dict[int, tuple[str, int, int]] = {}  # own number: asker, its number, when
+        self._relays: dict[int, tuple[str, int, int]] = {}  # own probe number: requester, its number, time
         self._number = 0
         self._order: list[str] = []
-        self._next: deque[str] = deque(maxlen=64)  # suspected by others, to be probed before the rest
-        self._hot: dict[str, int] = {}  # news to be passed on, and how often it was
+        self._next: deque[str] = deque(maxlen=64)  # suspected by others, to be probed out of turn
+        self._hot: dict[str, int] = {}  # updates to send, and how often each was sent
         self._slice = 0
         self._table = mark_of(name, self.own)
-        self._agreed = 0  # words in a row from those who hold the region to stand alike
-        self._apart = 0  # µs until when others are taken to hold the region to stand otherwise
+        self._agreed = 0  # consecutive messages whose digest equals this gateway's
+        self._apart = 0  # µs until when the digests of others are taken to differ
         self._rested = False
         self._due = 0
         self._out: list[Command] = []
 
-    # What others ask of it
+    # Queries
 
     @property
     def steady(self) -> bool:
-        """Tell whether time gone by means anything here: not just after a stand-still, nor when condemned."""
+        """Return whether elapsed time is meaningful: no recent pause, and the process is not disqualified."""
         return self._wait is None and not self.condemned
 
     def proof(self, name: str, start: int | None = None) -> Proof:
-        """Tell what is known of a gateway, or of one of its starts."""
+        """Return what is known about a member, or about one of its generations."""
         member = self.others[name]
         return Proof.LATER_START if start is not None and start < member.standing.start else member.proof
 
     def conclusion(self, name: str, start: int | None = None) -> Conclusion:
-        """Tell what may be done about it."""
+        """Return what may be assumed about a member."""
         return CONCLUSIONS[self.proof(name, start)]
 
     def counts(self) -> tuple[int, int]:
-        """Count gateways, this one among them: those who may spend what all share, those relied on."""
+        """Count the gateways, this one included, that may spend shared budgets and those that carry load."""
         return live_counts([each.proof for each in self.others.values()])
 
     # Events
 
     def begin(self, now: int) -> list[Command]:
-        """Start, at a random place in the first period: gateways that start together do not probe in step."""
+        """Start at a random point of the first period, so that gateways started together stay out of step."""
         if self.others:
             self._wake(now + self._random.randrange(PERIOD))
         return self._take_out()
 
     def leave(self, now: int) -> list[Command]:
-        """Say that this gateway ends."""
+        """Announce the shutdown of this gateway."""
         self.own = replace(self.own, state=State.LEFT)
         there = [each.name for each in self.others.values() if each.proof is Proof.HEARD]
         for name in self._random.sample(there, min(len(there), 2 * HELPERS)):
@@ -183,7 +185,7 @@
         return self._take_out()
 
     def take(self, now: int, event: Event) -> list[Command]:
-        """Take an event and give the commands that follow."""
+        """Handle an event and return the commands that follow."""
         if isinstance(event, Tick):
             self._tick(now, event.due)
         elif isinstance(event, Heard):
@@ -200,7 +202,7 @@
         self._due = at
         self._out.append(WakeAt(at))
 
-    # Time
+    # Timers
 
     def _tick(self, now: int, due: int) -> None:
         if due != self._due or self.own.state is State.LEFT:
@@ -222,20 +224,21 @@
         self._wake(now + span)
 
     def _calm(self, now: int) -> bool:
-        """Tell whether there is nothing to pass on and nobody to look after.
+        """Return whether there are no updates to send and no suspicions to check.
 
-        Danger: thirteen words a second, each filled with what the reader knows already, are one and a half
-        times the bytes that all control may cost. May hurt: a loss meets its first probe later, by up to a
-        period over as many as probe.
+        If not idle, a gateway sends thirteen messages a second; filled with what the receivers already know,
+        they would cost one and a half times the bytes that all control traffic may use. The price is that a
+        failure meets its first probe later, by up to a period divided by the number of gateways that probe.
         """
         busy = self._hot or self._suspects or self.slow or self._wait is not None
         return not busy and now >= self._apart
 
     def _stood_still(self, now: int) -> None:
-        """Take it that this process stood still: what others did meanwhile is not known.
+        """Record that this process was paused and does not know what the others did meanwhile.
 
-        Danger: a gateway that was stopped for a while believes that all others fell silent, accuses them, and
-        lends its vote to a rumour. It judges nothing that ran over its pause, and first hears from others.
+        Without this, a gateway that was stopped for a while would believe that all others had gone silent,
+        suspect them, and support suspicions of others. It drops the probe that spans the pause and hears from
+        the others first.
         """
         self._probe, self._wait, self._waits = None, set(), 0
         self.slow = min(MOST_SLOW, self.slow + 1)
@@ -246,32 +249,32 @@
         self._out.append(Noted("stood_still"))
 
     def _listen(self) -> None:
-        """After a stand-still: enough were heard, or there is nobody to be heard."""
+        """End the recovery from a pause once enough members were heard, or if there are none."""
         if self._wait is None:
             return
         self._waits += 1
-        half = (len(self.others) + 1) // 2  # with this one, more than half
+        half = (len(self.others) + 1) // 2  # with this gateway, more than half
         if len(self._wait) >= min(half, HEARD_ENOUGH):
             self._wait = None
 
     def _judge(self, now: int) -> None:
-        """End the probe that is out: nobody reached its target."""
+        """Evaluate the current probe, which nobody answered."""
         probe, self._probe = self._probe, None
         if probe is None:
             return
         member = self.others[probe.target]
         member.answered = 0
         if probe.helpers and not probe.nacks:
-            self.slow = min(MOST_SLOW, self.slow + 1)  # nobody answered at all: the trouble may be here
+            self.slow = min(MOST_SLOW, self.slow + 1)  # not even a NACK: the fault may be on this machine
         if self._wait is not None and self._waits < 3:
-            return  # just after a stand-still, or the start
+            return  # just paused or started
         heard = member.heard_at is not None and member.heard_at >= probe.at
         member.way = Way.NOT_HEARD if heard else Way.BROKEN
         if not heard and member.standing.state in (State.ALIVE, State.SUSPECTED):
             self._accuse(now, member, replace(member.standing, state=State.SUSPECTED), self.name)
 
     def _accuse(self, now: int, member: Member, told: Standing, by: str) -> None:
-        """Book an observer's word that it hears nothing of a gateway."""
+        """Record that an observer cannot reach a member."""
         if told < member.standing:
             return
         if told > member.standing:
@@ -284,7 +287,7 @@
             self._hot[member.name] = self._agreed = 0
 
     def _confirm(self, now: int) -> None:
-        """Take those for unreachable of whom enough observers hear nothing, for long enough."""
+        """Mark as unreachable the members that enough observers have suspected for long enough."""
         alive = 1 + len(self.others) - len(self._suspects) - len(self._lost)
         if self._wait is not None:
             return
@@ -307,7 +310,7 @@
             del self._relays[number]
 
     def _target(self) -> str | None:
-        """Give whom to probe: those that others suspect, then one after the other in an order drawn anew."""
+        """Choose the member to probe: those suspected by others first, then all in a shuffled round robin."""
         while self._next:
             name = self._next.popleft()
             if self.others[name].standing.state is State.SUSPECTED:
@@ -315,7 +318,7 @@
         lost, new = self._lost, self._unheard if self._number <= len(self.others) else {}
         if lost:
             few = 1.0 if new else RETURNS * len(lost) / len(self.others)
-            # drawn, not counted: all have known of the loss for as long, and would come back to it together
+            # random instead of counted: all gateways learned of the loss together and would probe it together
             due = self._random.random() < min(1 / RETURN_EVERY, few)
             if due or len(lost) == len(self.others):
                 return self._random.choice(tuple(new or lost))
@@ -332,7 +335,7 @@
         return member.standing.state in (State.ALIVE, State.SUSPECTED)
 
     def _ask_others(self, now: int) -> None:
-        """Go on with a probe that was not answered: through helpers, and over TCP, which loses nothing."""
+        """Continue an unanswered probe through other gateways, and over TCP, which recovers lost packets."""
         probe = self._probe
         if probe is None:
             return
@@ -366,17 +369,17 @@
                 member.way = Way.WHOLE
             return
         member.answered = 0
-        # whether it heard the probe itself, so that only its answer was lost
+        # whether the target received the probe, so that only its answer was lost
         came = 0 <= word.gap * MS <= now - probe.at + ANSWER
         member.way = Way.NOT_HEARING if came else Way.NOT_HEARD
         if not came and (member.datagram_at is None or now - member.datagram_at > self._round()):
             member.way = Way.BROKEN
 
     def _round(self) -> int:
-        """Give the time in which each other gateway has probed this one, µs."""
+        """Return the time in which every other gateway probes this one once, in µs."""
         return 2 * PERIOD * (len(self.others) + 1)
 
-    # Words
+    # Messages
 
     def _send(
         self,
@@ -387,7 +390,7 @@
         about: str = "",
         gap: int = -1,
         sure: bool = False,
-        heard: Word | None = None,  # what it answers
+        heard: Word | None = None,  # the message that this one answers
     ) -> None:
         self.words += 1
         own, news = self.own, () if kind == Kind.ACK and not number else self._news(now, to, kind, number)
@@ -396,7 +399,7 @@
         self._out.append(SendWord(to, word, sure, self.others[to].standing.start, now))
 
     def _headed(self, now: int, to: str, kind: Kind, heard: Word | None) -> tuple:
-        """Give what a word tells of the head in force, and what its reader lacks."""
+        """Return the fields that announce the active revision and carry deltas that the receiver lacks."""
         rumour, theirs = self.rumour, head_of(heard)
         if rumour is None or rumour.head is None:
             return NO_HEAD
@@ -405,11 +408,12 @@
         return *rumour.head, rumour.bring(now, to, theirs) if theirs else ()
 
     def _news(self, now: int, to: str, kind: Kind, number: int) -> tuple[News, ...]:
-        """Choose what to pass on: what is said of the one who reads it, the newest, then all in turn.
+        """Choose updates to send: what others report of the receiver, then the newest, then all in turn.
 
-        What is old goes only while somebody was heard lately who holds the region to stand otherwise. Danger:
-        did each begin wherever it is, one that has started would hear the same again and again and the last
-        ones late. An answer begins by its question's number, and who asks one after the other hears all once.
+        Old updates go out only while digests differed recently. An answer's old updates start at a position
+        derived from the probe number, so that a gateway that probes one after the other receives each of them
+        once. If every sender started at its own cursor, a newly started gateway would receive some updates
+        again and again and the last ones late.
         """
         names: dict[str, None] = {}
         if self.others[to].proof is not Proof.HEARD and self.others[to].standing.start:
@@ -476,14 +480,15 @@
         elif word.kind in (Kind.ACK, Kind.NACK):
             self._answered(now, member.name, word, sure)
             if self.rumour is not None and self.rumour.owes(now, member.name, head):
-                self._send(now, member.name, Kind.ACK, heard=word)  # an answer to no probe: what it lacks
+                self._send(now, member.name, Kind.ACK, heard=word)  # carries deltas, answers no probe
 
     def _compare(self, now: int, word: Word) -> None:
-        """Hold the sender's table against this one, which has what the word told.
+        """Compare the sender's digest with this gateway's, after the message's updates were applied.
 
-        Danger: one that has started takes all that it learns for news, and would tell thousands of standings
-        dozens of times to who knows them. Demers' rumours with feedback: who meets only such loses interest.
-        Not in a suspicion, as who observes it is not in the digest and must come round.
+        A newly started gateway takes all that it learns for new and would send thousands of updates dozens of
+        times to gateways that know them. As in Demers' rumour mongering with feedback, it stops after meeting
+        only gateways that agree; not during a suspicion, because observers are not part of the digest and
+        must spread.
         """
         if isinstance(word, TabledWord) and word.table == self._table:
             self._agreed += 1
@@ -493,9 +498,10 @@
             self._agreed, self._apart = 0, now + APART
 
     def _placed(self, member: Member, start: int, place: str) -> None:
-        """Reach a start of a gateway where it is.
+        """Store the address of a member's generation.
 
-        Danger: its machine of before refuses connections, and that would be taken for this start's end.
+        With the address of an earlier generation, the machine there would refuse connections, and that would
+        be taken as proof that this generation has ended.
         """
         if start <= member.placed:
             return
@@ -505,7 +511,7 @@
             self._out.append(Moved(member.name, place))
 
     def _relay(self, now: int, asker: str, word: Word) -> None:
-        """Probe another in the asker's place; the asker hears at once that this gateway is there itself."""
+        """Probe on another gateway's behalf; the NACK shows it at once that this gateway is reachable."""
         self._number += 1
         self._relays[self._number] = asker, word.number, now
         while len(self._relays) > 4 * len(self.others):
@@ -514,7 +520,7 @@
         self._send(now, asker, Kind.NACK, word.number, word.about)
 
     def _told(self, now: int, news: News) -> None:
-        """Take what another passed on."""
+        """Apply an update that another gateway sent."""
         try:
             standing = news.standing()
         except ValueError:
@@ -560,13 +566,13 @@
         }
         self._set(now, member, told, proofs[told.state])
 
-    # Standing
+    # Status
 
     def _proved(self, now: int, event: Refused | Forget) -> None:
-        """Take a proof that a process is over.
+        """Apply proof that a process has ended.
 
-        A refusal is about the process that was known when the word left, and only where nothing was heard of
-        it since: it may come late, when the next process answers already.
+        A refused connection counts against the generation that was known when the message was sent, and only
+        if nothing was heard from it since: a refusal may arrive late, when the next process already answers.
         """
         member = self.others[event.name]
         if member.standing.state is State.DEAD:
@@ -575,7 +581,7 @@
         told = replace(member.standing, state=State.DEAD)
         if isinstance(event, Forget) and event.start:
             if event.start < member.standing.start:
-                return  # another life of it has been heard of since
+                return  # a later generation has been seen since
             told = Standing(event.start, member.standing.incarnation, State.DEAD)
         if isinstance(event, Refused):
             told = refused(member.standing, event.start)
--- a/mintmast/decisions/gateways/roll.py
+++ b/mintmast/decisions/gateways/roll.py
@@ -1,4 +1,4 @@
-"""What goes into a gateway's part in membership and what comes out, and what it holds of each other one."""
+"""Events and commands of the membership protocol, and what is stored about each other member."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Way(Enum):
-    """What of the path between this gateway and another works."""
+    """Which directions of the path between this gateway and another work."""
 
     WHOLE = "whole"
     NOT_HEARD = "it does not hear us"
@@ -22,23 +22,23 @@
 
 
 class SendWord(msgspec.Struct, frozen=True, gc=False):
-    """Send a word to a gateway; with `sure`, over TCP: a refusal comes back as `Refused(to, known, at)`."""
+    """Send a message, over TCP if `reliable`; a refused connection comes back as a `ConnectionRefused`."""
 
     to: str
     word: Word
     sure: bool = False
-    known: int = 0  # start of the addressee as known now
+    known: int = 0  # the receiver's generation as known at `sent_at`
     at: int = 0
 
 
 class WakeAt(msgspec.Struct, frozen=True, gc=False):
-    """Call back with `Tick(at)`."""
+    """Send a `TimerFired` at this time (µs)."""
 
     at: int
 
 
 class Changed(msgspec.Struct, frozen=True, gc=False):
-    """A gateway stands otherwise than before, as believed here."""
+    """The view that this gateway has of a member has changed."""
 
     name: str
     proof: Proof
@@ -47,14 +47,14 @@
 
 
 class Noted(msgspec.Struct, frozen=True, gc=False):
-    """Something about this gateway that operators need to know."""
+    """An event of this gateway that operators need to see."""
 
     what: str
     about: str = ""
 
 
 class Moved(msgspec.Struct, frozen=True, gc=False):
-    """A later start of a gateway is reached at this HOST:PORT, "" for where the settings have it."""
+    """A newer generation of a member is at this HOST:PORT, "" for the address in the settings."""
 
     name: str
     place: str
@@ -64,20 +64,20 @@
 
 
 class Tick(msgspec.Struct, frozen=True, gc=False):
-    """The time of a wake has come; `due` is when it should have."""
+    """A timer has fired; `scheduled_at` is when it was due (µs)."""
 
     due: int
 
 
 class Heard(msgspec.Struct, frozen=True, gc=False):
-    """A word has come whose seal is good; `sure` where it came over TCP."""
+    """An authentic message has arrived, over TCP if `reliable`."""
 
     word: Word
     sure: bool = False
 
 
 class Refused(msgspec.Struct, frozen=True, gc=False):
-    """A gateway's machine took no connection for a word sent at `at`, when `start` was its last one known."""
+    """A machine refused a connection for a message sent at `sent_at`, while `generation` was known."""
 
     name: str
     start: int
@@ -85,7 +85,7 @@
 
 
 class Forget(msgspec.Struct, frozen=True, gc=False):
-    """An operator's word that a gateway is gone for good, given before this start where it names one."""
+    """An operator says that a member is gone for good; `generation`, if not 0, is the one known then."""
 
     name: str
     start: int = 0
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other gateway as known here."""
+    """What this gateway knows about one other gateway."""
 
     name: str
     standing: Standing = Standing()
@@ -105,9 +105,9 @@
     heard_at: int | None = None
     datagram_at: int | None = None
     place: str = ""
-    placed: int = 0  # the start that is there
-    revision: tuple[int, int, int] | None = None  # the last head that it told: term, number, mark
+    placed: int = 0  # generation at `address`
+    revision: tuple[int, int, int] | None = None  # last announced: term, number, digest prefix
     way: Way = Way.WHOLE
-    answered: int = 0  # probes in a row that were answered directly
+    answered: int = 0  # consecutive probes answered directly
     observers: set[str] = field(default_factory=set)
     window: Window = field(default_factory=Window)
--- a/mintmast/decisions/gateways/standing.py
+++ b/mintmast/decisions/gateways/standing.py
@@ -1,12 +1,13 @@
-"""How a gateway of the region stands, how two words of it are merged, and what may be concluded from it.
+"""The status of one gateway as others report it, how two reports are merged, and what each state permits.
 
-Everything that one gateway tells of another is a `Standing`; of two, the one of the later start, then of the
-higher incarnation, then of the graver state counts. That is one order over all of them, so whatever is late,
-doubled, lost for a while or in another order ends in the same standing everywhere.
+Every report about a gateway is a `MemberStatus`. Of two reports the one with the later generation wins, then
+the one with the higher incarnation, then the one with the more severe state. This is a total order, so
+delayed, duplicated, lost and reordered messages all converge on the same status at every gateway.
 
-What others may do on it is a table, as the dangers lie there: a gateway that cannot be reached may serve its
-viewers, own keys and spend budgets all the same. Silence proves nothing. States, incarnations and refutation
-by the subject alone are SWIM's (Das, Gupta, Motivala 2002); `DEAD` is not, which takes time-outs for it.
+What other gateways may do in each state is a table, `MEMBER_POLICIES`, because that is where the risks are:
+an unreachable gateway may still serve its viewers, own keys and spend shared budgets. Silence proves nothing.
+States, incarnations and refutation by the subject alone follow SWIM (Das, Gupta, Motivala 2002). `DEAD` does
+not: SWIM declares it after a timeout, here it takes proof that the process has ended.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 
 class State(IntEnum):
-    """Graver states have higher numbers."""
+    """State of a member. More severe states have higher numbers."""
 
-    ALIVE = 0  # said by the gateway itself, and by nobody else
-    SUSPECTED = 1  # an observer reached it neither itself nor through others
-    UNREACHABLE = 2  # as many observers as there are to ask say so
-    LEFT = 3  # its own word at an orderly end
-    DEAD = 4  # proved; see `Proof`
+    ALIVE = 0  # only the gateway itself announces this
+    SUSPECTED = 1  # an observer reached it neither directly nor through other gateways
+    UNREACHABLE = 2  # confirmed by as many observers as are required
+    LEFT = 3  # it announced an orderly shutdown
+    DEAD = 4  # proven; see `Liveness`
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Standing:
-    """One gateway as it is told of. `start` is its process's number, 0 where none was heard of."""
+    """A gateway's status as reported. `generation` identifies its process, 0 where none is known yet."""
 
     start: int = 0
     incarnation: int = 0
@@ -35,27 +36,27 @@
 
 
 def merge(one: Standing, other: Standing) -> Standing:
-    """Give what counts of two words; the order in which they came plays no part."""
+    """Return the report that takes precedence, whatever order the two arrived in."""
     return max(one, other)
 
 
 def refuted(own: Standing, told: Standing) -> Standing:
-    """Let a gateway answer what is said of its own start: it lives, under the next incarnation."""
+    """Return a gateway's own status after a report about it: alive, with a higher incarnation if it must refute."""
     if told.start != own.start or told <= own:
         return own
     return Standing(own.start, told.incarnation + (told.state is not State.ALIVE), State.ALIVE)
 
 
 def refused(held: Standing, start: int) -> Standing:
-    """Take it that the machine took no connection when `start` was the last one known there.
+    """Mark a member dead if its machine refused a connection while `generation` was the last one known there.
 
-    Danger: the refusal may come late, when the next process of the name answers already.
+    The generation is checked because a refusal may arrive late, when the next process already answers.
     """
     return replace(held, state=State.DEAD) if start == held.start else held
 
 
 class Proof(Enum):
-    """What a conclusion rests on."""
+    """What a gateway believes about a member, named by the evidence for it."""
 
     HEARD = "it answers"
     SILENT = "one observer hears nothing"
@@ -69,14 +70,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Conclusion:
-    """What may be done about a gateway, each column on its safe side."""
-
-    asked_first: bool  # claims and questions go to it before others
-    may_vote: bool  # a vote of its may still come true
-    may_own: bool  # keys that it owned may be in use: they are not given to others
-    may_spend: bool  # it counts among those who spend what all share: budgets, cold pace
-    relied_on: bool  # it counts among those who carry load
-    gone: bool  # its process is over: what only it remembered is lost, and it will not act on it
+    """What other gateways may assume about a member. Each field errs on its safe side."""
+
+    asked_first: bool  # claims and requests go to it before others
+    may_vote: bool  # a vote of it may still arrive
+    may_own: bool  # keys that it owned may be in use, so nobody else gets them
+    may_spend: bool  # it counts when shared budgets and the cold-title rate are divided
+    relied_on: bool  # it counts among those that carry load
+    gone: bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
     reason: str
 
 
@@ -119,10 +120,10 @@
 
 
 def live_counts(proofs: list[Proof]) -> tuple[int, int]:
-    """Count, this gateway included, those who may spend what all share and those who can be relied on.
+    """Count the gateways, this one included, that may spend shared budgets and those that carry load.
 
-    Danger: a cut halves the count on both sides; were shares made of the lower one, both halves together
-    would spend twice what there is.
+    The two counts differ because a network partition halves the second one on both sides. If budgets were
+    divided by it, both halves together would spend twice the budget.
     """
     told = [CONCLUSIONS[proof] for proof in proofs]
     return 1 + sum(each.may_spend for each in told), 1 + sum(each.relied_on for each in told)
--- a/mintmast/decisions/gateways/words.py
+++ b/mintmast/decisions/gateways/words.py
@@ -1,4 +1,4 @@
-"""What gateways say to each other about who is there: one datagram a word, and a window against replays."""
+"""Messages of the membership protocol, one datagram each, and a window that rejects replayed ones."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from mintmast.decisions.gateways.revising import Delta
 from mintmast.decisions.gateways.standing import Standing, State
 
-# news in one word: with names of 64 bytes still one datagram of 1,200, which every path takes whole
+# updates in one message: with names of 64 bytes it fits a datagram of 1,200 bytes, which every path carries
 MOST_NEWS = 11
-# words of one sender that may overtake each other; what is older is dropped
+# how far messages of one sender may be reordered; older ones are dropped
 REORDERED = 64
 
 
 class Kind(IntEnum):
-    """What a word wants."""
+    """Purpose of a message, as in SWIM."""
 
-    PING = 0  # to be answered by an ACK under the same number
+    PING = 0  # to be answered by an ACK with the same probe number
     ACK = 1
-    ASK = 2  # to ping `about` in the sender's place; answered by an ACK or a NACK
-    NACK = 3  # asked, and heard nothing either
-    LEAVE = 4  # the sender ends
+    ASK = 2  # asks the receiver to ping `subject`; answered by an ACK or a NACK
+    NACK = 3  # the requested indirect ping has had no answer so far
+    LEAVE = 4  # the sender is shutting down
 
 
 class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """How a gateway stands, as `by` tells, which matters where it is suspected; `place` is as in `Word`."""
+    """A member's status as `observer` reports it, needed for suspicions; `address` as in `GossipMessage`."""
 
     name: str
     start: int
@@ -37,16 +37,17 @@
     place: str = ""
 
     def standing(self) -> Standing:
-        """Give it for merging. Raises ValueError for a state that there is not."""
+        """Return it as a status for merging. Raises ValueError for an unknown state."""
         return Standing(self.start, self.incarnation, State(self.state))
 
 
 class Word(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One datagram. `seq` counts the sender's words of this start; `number` is that of the probe.
+    """One datagram. `sequence` counts the messages of the sender's generation.
 
-    `place` is where this start of the sender is reached, HOST:PORT, "" for where settings have it. `about` is
-    whom an ASK, its answer, or a PING in another's place is for. `gap` in an answer is how many ms ago its
-    writer last heard `about` itself, -1 for never: so two learn which way their path is broken.
+    `address` is HOST:PORT of this generation of the sender, "" for the address in the settings. `subject` is
+    the member that a PING_REQUEST, its answer, or a PING on behalf of another gateway is about. In an answer
+    `heard_ms_ago` says how long ago the sender last heard `subject` itself, in ms, -1 for never: it tells the
+    two ends which direction of their path is broken.
     """
 
     kind: int
@@ -62,10 +63,10 @@
 
 
 class HeadedWord(Word, frozen=True, array_like=True, gc=False):
-    """A word that tells its sender's configuration in force: `revising.Head`'s term, number and mark.
+    """A message that announces its sender's active revision: term, number and digest prefix of `RevisionId`.
 
-    Only gateways with a `configuration` section send it; a word without decodes as term -1, and a gateway of
-    before reads this one as a `Word`.
+    Only gateways with a `configuration` section send it. A message without these fields decodes with term -1,
+    and versions of the program that do not know the fields decode this one as a `GossipMessage`.
     """
 
     term: int = -1
@@ -74,28 +75,29 @@
 
     @property
     def head(self) -> tuple[int, int, int] | None:
-        """Give the head that it tells, None for none."""
+        """Return term, number and digest prefix of the announced revision, None without one."""
         return None if self.term == -1 else (self.term, self.revision, self.mark)
 
 
 class BringingWord(HeadedWord, frozen=True, array_like=True, gc=False):
-    """One that brings the revisions that its reader lacks, from the one after its reader's head on."""
+    """A message that carries the revisions its receiver lacks, starting after the receiver's head."""
 
     deltas: tuple[Delta, ...] = ()
 
 
 class TabledWord(BringingWord, frozen=True, array_like=True, gc=False):
-    """What gateways say: any of the above, with a digest of how its sender holds all of the region to stand.
+    """The type that gateways send: all of the above, and an anti-entropy digest of the membership.
 
-    `table` is `mark_of` all standings, its own among them, by exclusive or. Two who tell the same need pass
-    nothing on. -1 is told by gateways of before, which pass on all the time, and read these words as theirs.
+    `membership_digest` is the exclusive or of `hash_status` over all members, the sender included. Gateways
+    with equal digests need not exchange updates. Versions of the program without the field decode to -1; they
+    send updates all the time, and decode this message as one of theirs.
     """
 
     table: int = -1
 
 
 def mark_of(name: str, standing: Standing) -> int:
-    """Give 32 bits for a gateway's standing; 0 for one of which nothing was heard."""
+    """Return a 32-bit hash of a member's status; 0 for a member without a known generation."""
     if not standing.start:
         return 0
     told = f"{name} {standing.start} {standing.incarnation} {int(standing.state)}".encode()
@@ -103,14 +105,14 @@
 
 
 def head_of(word: Word | None) -> tuple[int, int, int] | None:
-    """Give the head that a word tells, None where it tells none."""
+    """Return the summary of the revision that a message announces, None without one."""
     return word.head if isinstance(word, HeadedWord) else None
 
 
 class Window:
-    """Which words of a sender came already: the highest number, and a bit for each of those under it.
+    """Sliding window over one sender's sequence numbers: the highest, and one bit for each of those below it.
 
-    Danger: whoever records datagrams could make a gateway that has died look alive by sending them again.
+    It prevents a recorded datagram that is sent again from making a dead gateway look alive.
     """
 
     __slots__ = ("bits", "high", "start")
@@ -119,7 +121,7 @@
         self.start = self.high = self.bits = 0
 
     def take(self, start: int, seq: int) -> bool:
-        """Book a word; False for one that came before, or is too old to tell. A later start begins anew."""
+        """Record a message; return False for a duplicate or too old one. A later generation resets it."""
         if start < self.start or seq <= 0:
             return False
         if start > self.start:
--- a/mintmast/peers/roster.py
+++ b/mintmast/peers/roster.py
@@ -1,8 +1,8 @@
-"""Words of membership on the network: sealed datagrams, and HTTP to the peers' port as the second path.
+"""Transport of the membership protocol: authenticated datagrams, and HTTP on the peers' port as second path.
 
-A datagram is `MM`, a version, a seal of 16 bytes (HMAC-SHA256, cut) over what follows, and a word in
-MessagePack. The second path carries the same bytes, `POST /v1/members`, answered by a sealed word. What is
-not good is dropped and counted. `docs/design/gateway-membership.md` has it all.
+A datagram is `MM`, a version byte, a truncated HMAC-SHA256 of 16 bytes over the rest, and a message in
+MessagePack. The second path carries the same bytes in `POST /v1/members` and is answered with a message in
+the same form. Invalid input is dropped and counted. The design is in `docs/design/gateway-membership.md`.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 PATH = "/v1/members"
 MARK = b"MM\x01"
 SEAL = 16
-# bytes of one datagram: every path takes so many whole
+# size limit of a datagram in bytes: every path carries this many without fragmentation
 MOST_BYTES = 1200
 
 
 def address_of(text: str) -> Address:
-    """Give host and port of HOST:PORT. Raises ValueError."""
+    """Return host and port of HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
         raise ValueError(f"{text[:100]!r} is not HOST:PORT")
@@ -56,12 +56,12 @@
 
 
 class Roster:
-    """Carries one gateway's `Members`. `members` are all gateways with their addresses, `listen` its own.
+    """Runs one gateway's `Members` on a loop. `members` has the addresses of all gateways.
 
-    `secrets` seal (the first) and open (all). `say(event, **fields)` takes log lines, `tell` hears what
-    others decide by. `place` is told to the others
-    where it is not what `members` has. `members` changes as gateways move. Raises OSError where the address
-    cannot be had.
+    The first of `secrets` authenticates what is sent, all are accepted on receipt. `log(event, **fields)`
+    writes a log line; `notify` receives what other parts of the gateway decide by. `address` is announced to
+    the other gateways where it differs from the one in `members`. `members` is updated as gateways move.
+    Raises OSError if `listen` cannot be bound.
     """
 
     def __init__(
@@ -84,14 +84,14 @@
             gateway, start, tuple(sorted(members)), random.Random(f"{seed}/members"), place
         )
         self.malformed = self.unsealed = 0
-        # hears which configuration others have in force; set before the first word is waited for
+        # receives the revisions that others announce; must be set before the first message arrives
         self.heads: Callable[[HeadHeard], None] | None = None
         self._reply: tuple[str, bytes] | None = None
         self._client = HttpClient(loop, ClientLimits(idle_each=1, body_bytes=4096), f"mintmast/{gateway}")
         self._port = loop.datagrams(*listen, self._came)
         self._carry(self.members.begin(loop.now()))
 
-    # Out
+    # Sending
 
     def _take(self, event: Event) -> None:
         self._carry(self.members.take(self._loop.now(), event))
@@ -117,7 +117,7 @@
                     self._tell(Condemned(command.about))
 
     def _move(self, command: Moved) -> None:
-        """Reach a gateway elsewhere; what is no address is counted, and the settings' one kept."""
+        """Store a member's new address; an invalid one is counted, and the one in the settings is used."""
         place = self._told[command.name]
         if command.place:
             try:
@@ -149,7 +149,7 @@
         until = self._loop.now() + PERIOD
         self._client.call(self._addresses[command.to], "POST", PATH, ended, headers, data, until)
 
-    # In
+    # Receiving
 
     def _came(self, data: bytes, peer: tuple[str, int]) -> None:
         word = self.open(data)
@@ -157,7 +157,7 @@
             self._take(Heard(word))
 
     def called(self, body: bytes) -> bytes | None:
-        """Answer a word that came over HTTP; None where it is not good, or wants no answer."""
+        """Return the answer to a message that came over HTTP; None if it is invalid or needs no answer."""
         word = self.open(body)
         if word is None:
             return None
@@ -167,7 +167,7 @@
         return told[1] if told is not None and told[0] == word.sender else None
 
     def seal(self, word: Word) -> bytes:
-        """Give a word as it is sent: with as much of its news as one datagram takes."""
+        """Return a message as bytes; updates that do not fit into one datagram are left out."""
         body = msgspec.msgpack.encode(word)
         while word.news and len(MARK) + SEAL + len(body) > MOST_BYTES:
             word = msgspec.structs.replace(word, news=word.news[: len(word.news) // 2])
@@ -175,7 +175,7 @@
         return MARK + self._mac(self._secrets[0], body) + body
 
     def open(self, data: bytes) -> Word | None:
-        """Give the word of good bytes; others are counted."""
+        """Return the message of authentic bytes; count all others and return None."""
         mac, body = data[len(MARK) : len(MARK) + SEAL], data[len(MARK) + SEAL :]
         if not data.startswith(MARK) or len(data) > MOST_BYTES:
             self.malformed += 1
@@ -193,12 +193,12 @@
     def _mac(secret: bytes, body: bytes) -> bytes:
         return hmac.new(secret, b"members" + body, hashlib.sha256).digest()[:SEAL]
 
-    # For operators
+    # Operators
 
     def forget(self, name: str, start: int = 0) -> bool:
-        """Take an operator's word that a gateway is gone for good; False for one that is none.
+        """Mark a gateway as gone for good on an operator's request; return False for an unknown name.
 
-        `start` is the last one known of it when the word was given, where that was before this start.
+        `generation` is set for a request from before this gateway's last restart: the one known at that time.
         """
         if name not in self.members.others:
             return False
@@ -207,7 +207,7 @@
         return True
 
     def state(self) -> dict[str, Any]:
-        """Tell what is believed of each gateway, for operators."""
+        """Return what is known about each gateway, for operators."""
         now, part = self._loop.now(), self.members
         spend, rely = part.counts()
         return {
@@ -235,6 +235,6 @@
         }
 
     def close(self) -> None:
-        """Say goodbye, and hear nothing more."""
+        """Announce the shutdown and stop receiving."""
         self._carry(self.members.leave(self._loop.now()))
         self._port.close()
