--- a/mintmast/decisions/gateways/__init__.py
+++ b/mintmast/decisions/gateways/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways of a region agree on among themselves."""
+"""Protocols among the gateways of a region: membership, claims of paid keys, shared configuration."""
--- a/mintmast/decisions/gateways/history.py
+++ b/mintmast/decisions/gateways/history.py
@@ -1,4 +1,4 @@
-"""Revisions that others may still ask for, the answer to them, and the check that each one must pass."""
+"""Recent revisions kept for other gateways, replies to requests for them, and validation of revisions."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from mintmast.decisions.gateways.revising import Check, Delta, Head, Question, Reply, Stored, digest_of
 
-# bytes of a document and of a patch that are taken: what is shared by 3,400 gateways with room to spare, and
-# a change that a person or a tool writes in one piece
+# size limits of documents and patches: the shared settings of 3,400 gateways fit with room to spare, and so
+# does a change that a person or a tool writes in one piece
 DOCUMENT_BYTES, PATCH_BYTES = 1 << 20, 64 << 10
-# revisions kept to be told to others: four hours of 11,000 a day, so that a restart, a region's cut and a
-# long stop are told by deltas; in bytes a two-hundredth of a gateway's 64 MB for control
+# revisions kept for other gateways: four hours at 11,000 a day, so that a restart, a partition of a region
+# and a long pause are made up by deltas; in bytes a two-hundredth of a gateway's 64 MB for control
 HISTORY, HISTORY_BYTES = 2048, 320 << 10
-# revisions and bytes of patches in one reply: each is a check of a whole document, and they are one turn of
-# the loop
+# revisions and patch bytes in one reply: each revision takes a validation of a whole document, all of them in
+# one turn of the loop
 REPLY_DELTAS, REPLY_BYTES = 16, 64 << 10
-# bytes of a revision beside its patch, in a word
+# bytes of a delta beside its patch, in a membership message
 NAME_BYTES = 32
-# bytes of a document's piece in one reply: base64 makes it 64 kB, a fifteenth of what a line takes
+# bytes of a document in one reply: base64 makes this 64 kB, a fifteenth of the limit of a connection
 PAGE_BYTES = 48 << 10
 
 
 class History:
-    """The last revisions of one gateway, without a gap, up to its head."""
+    """The most recent revisions of one gateway, gapless, up to its head."""
 
     def __init__(self, stored: Stored) -> None:
         self.base, self.deltas, self.bytes = stored.head, [], 0
@@ -32,7 +32,7 @@
             self._add(stored.history)
 
     def extend(self, head: Head, deltas: tuple[Delta, ...]) -> None:
-        """Go on to a head; without deltas what was before it cannot be told any more."""
+        """Advance to a new head; without deltas the earlier revisions are dropped, as the chain is broken."""
         if deltas:
             self._add(deltas)
         else:
@@ -44,7 +44,7 @@
         self.bytes += sum(len(each.patch) for each in deltas)
         if len(self.deltas) <= HISTORY and self.bytes <= HISTORY_BYTES:
             return
-        # an eighth more than must be, so that this is not done at each revision
+        # removes an eighth more than needed, so that not every revision causes a removal
         cut = 0
         while len(self.deltas) - cut > HISTORY * 7 // 8 or self.bytes > HISTORY_BYTES * 7 // 8:
             self.bytes -= len(self.deltas[cut].patch)
@@ -53,9 +53,9 @@
         del self.deltas[:cut], self._keys[:cut]
 
     def answer(self, head: Head, document: bytes, question: Question) -> Reply | None:
-        """Answer a question at this head; None for what is none.
+        """Return the reply to a request at this head; None if the request is invalid.
 
-        Deltas, where the asker's head is one of the history and they are fewer bytes than the document.
+        It has deltas if the requester's head is in the history and they are smaller than the document.
         """
         since = Head(question.term, question.number, question.digest)
         if not since.good or not 0 <= question.offset <= DOCUMENT_BYTES or len(question.of) > 16:
@@ -76,9 +76,9 @@
         return Reply(head, (), page, offset, len(document), fork)
 
     def after(self, told: tuple[int, int, int], room: int) -> tuple[Delta, ...]:
-        """Give the first revisions after a head, told as words tell it, that take up to so many bytes.
+        """Return the first deltas after a revision summary, up to `max_bytes`.
 
-        None where the history does not have that head, or another one under its number.
+        Empty if the history does not have that revision, or has another one under its number.
         """
         found = self._at(told[:2])
         if found is None or found[1].mark != told[2]:
@@ -92,12 +92,12 @@
         return tuple(given)
 
     def _short(self, at: int, size: int) -> bool:
-        """Tell whether deltas are fewer bytes than a document of this size, or one reply at all."""
+        """Return whether the deltas fit into one reply or are smaller than a document of this size."""
         left = self.deltas[at:]
         return len(left) <= REPLY_DELTAS or sum(len(each.patch) for each in left) <= size
 
     def _place(self, since: Head) -> tuple[int | None, bool]:
-        """Give where the history goes on after a head, and whether it has another one under its number."""
+        """Return the index of the first delta after a head, and if its number has another digest here."""
         found = self._at(since.key)
         if found is None:
             return None, False
@@ -105,7 +105,7 @@
         return (at, False) if head.digest == since.digest else (None, True)
 
     def _at(self, key: tuple[int, int]) -> tuple[int, Head] | None:
-        """Give where the history goes on after a number, and its head there; None where it has none."""
+        """Return the index of the first delta after this key and the revision of the key; None if unknown."""
         if key == self.base.key:
             return 0, self.base
         at = bisect_left(self._keys, key)
@@ -115,9 +115,9 @@
 
 
 def checked(check: Check, document: bytes, patch: bytes) -> tuple[bytes | None, str]:
-    """Check a patch on a document: the document after it, or None and why.
+    """Validate a patch on a document; return the patched document, or None and the reason.
 
-    Danger: a check that raises on one odd input would end the processes of all gateways at once.
+    Exceptions are caught because a validator that raises on one odd input would crash all gateways at once.
     """
     if len(patch) > PATCH_BYTES:
         return None, f"a patch of over {PATCH_BYTES} bytes"
@@ -133,10 +133,10 @@
 def chain(
     check: Check, head: Head, document: bytes, reply: Reply
 ) -> tuple[Head, bytes, tuple[Delta, ...], str, str]:
-    """Take a reply's deltas one after the other, up to the first that is not good.
+    """Apply the deltas of a reply in order, up to the first invalid one.
 
-    Gives head and document after those that are, and of the first other one what it is ("bad reply",
-    "refused", "bad digest", "" for none) and why it was refused.
+    Returns the head and document reached, the deltas applied, the kind of fault of the invalid one ("bad
+    reply", "refused", "bad digest", "" for none), and the reason if it was refused.
     """
     good: list[Delta] = []
     for delta in reply.deltas[:REPLY_DELTAS]:
--- a/mintmast/decisions/gateways/publisher.py
+++ b/mintmast/decisions/gateways/publisher.py
@@ -1,4 +1,4 @@
-"""Who may number revisions, and when an operator's order is refused."""
+"""Which gateway may number revisions, and when an operator's order is refused."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 Order = Publish | TakeOver
 
-# orders that wait: a burst of 200 changes in a second with room to spare
+# orders that may wait: a burst of 200 changes in a second, with room to spare
 MOST_ORDERS = 1000
-# a take-over's term is the highest known and up to so many on: two who take over unknown to each other, in a
-# cut or after a file was lost, then have two terms, of which one wins, and not one number for two documents
+# a take-over draws its term at most this far above the highest known one. Two gateways that take over without
+# knowing of each other, in a partition or after a file was lost, get different terms, so that one of them
+# wins and no number stands for two documents
 STEP = 1000
 
 
 class Publisher:
-    """One gateway's part in numbering: the term in which it does, 0 for none, and the highest term known."""
+    """Numbering of revisions at one gateway: its own term as publisher, 0 for none, and the highest known."""
 
     def __init__(self, leads: int, highest: int, rng: random.Random) -> None:
         self.leads, self.highest = leads, max(leads, highest)
@@ -25,13 +26,13 @@
         self.orders: deque[Order] = deque()
 
     def heard(self, term: int) -> None:
-        """Book a term."""
+        """Record a term."""
         self.highest = max(self.highest, term)
 
     def lose(self, term: int) -> bool:
-        """Give up numbering where this term is not below the own; tell whether that was so until now.
+        """Stop publishing if this term is not below this gateway's own; return whether it was the publisher.
 
-        Danger: a publisher whose file was put back, or two who took over in a cut, give one number twice.
+        A publisher with a restored file, or two that took over in a partition, would use one number twice.
         """
         lost = 0 < self.leads <= term
         if lost:
@@ -39,9 +40,10 @@
         return lost
 
     def fault(self, order: Order, number: int, start: str, behind: bool) -> str:
-        """Tell why an order cannot be taken at this number of the head in force, "" where it can.
+        """Return why an order is refused at this number of the active revision, "" if it is not.
 
-        `start` is what hinders since this gateway's start, `behind` tells that others have a later revision.
+        `startup_refusal` is the reason that holds during startup, if any. `is_behind` says that others have a
+        later revision.
         """
         over = isinstance(order, TakeOver)
         if start:
@@ -53,7 +55,7 @@
         return "numbers are used up" if number >= MOST or (over and self.highest > MOST - STEP) else ""
 
     def numbers(self, order: Order) -> tuple[int, bytes]:
-        """Give term and patch of what an order makes."""
+        """Return the term and the patch of the revision that an order creates."""
         if isinstance(order, TakeOver):
             return self.highest + self._random.randint(1, STEP), NOTHING
         return self.leads, order.patch
--- a/mintmast/decisions/gateways/pulls.py
+++ b/mintmast/decisions/gateways/pulls.py
@@ -1,4 +1,4 @@
-"""What one gateway holds while revisions come: whom to ask, when again, pieces, and its own start."""
+"""State of a gateway's pulls of revisions: whom to ask and when, pages received, and the startup phase."""
 
 from __future__ import annotations
 
@@ -9,31 +9,35 @@
 from mintmast.decisions.gateways.revising import Delta, Head, Reply, Source, digest_of
 
 MS, SECOND = 1000, 1_000_000
-# µs for an answer: of the region, a hundred round trips and a busy loop; of another region, some more
+# µs to wait for a reply: a hundred round trips in the region and a busy loop, and more from another region
 NEAR_TIME, FAR_TIME = 1 * SECOND, 3 * SECOND
-# µs after a pull that failed, doubled each time up to the second, and drawn between half of it and all: so
-# that those who wait for one sender do not come back in step
+# µs of backoff after a failed pull, doubled each time up to the second value and drawn from its upper half,
+# so that gateways waiting for one sender do not retry in step
 BACK_OFF, LONGEST_OFF = 50 * MS, 2 * SECOND
-# µs after a revision was refused until its sender's whole document is asked for, doubled each time up to the
-# second: one of another program version must not fetch each of 11,000 a day whole, and has a mend in 18 s
+# µs from the rejection of a revision to the request for its sender's whole document, doubled each time up to
+# the second value. A gateway of another program version must not fetch the document for each of 11,000
+# changes a day, and still receives a correction within 18 s
 REFUSED_OFF, LONGEST_REFUSED = 4 * SECOND, 16 * SECOND
-# µs for which a newer head's revisions are waited for after a word that told it, before they are asked for:
-# its sender has the answer, and sends them, within a round trip and a turn of a busy loop
+# µs to wait for the deltas of a newer revision after a message that announced it, before they are requested:
+# its sender learns from the answer that they are missing, and sends them within a round trip and a turn of
+# its loop
 BRING_TIME = 150 * MS
-# senders of a newer head that are remembered, and for how many µs: a word of each comes again anyway
+# how many senders of newer revisions are remembered, and for how many µs: each of them announces it again
+# anyway
 SENDERS, SENDER_TIME = 8, 10 * SECOND
-# others that must have told their head before a start knows that its own is not old, and µs after which it
-# goes on without: three share no cut, and five seconds leave thirteen of the eighteen
+# announcements of others after which a starting gateway knows that its own head is not old, and µs after
+# which it goes on without them: three are not all behind one partition, and five seconds leave thirteen of
+# the eighteen
 HEARD_ENOUGH, SETTLE_TIME = 3, 5 * SECOND
-# log lines that are remembered, so that each is said once
+# log lines remembered so that each is written once
 MOST_SAID = 64
-# doublings that are counted: beyond, every wait is at its longest
+# doublings counted: beyond this every wait is at its maximum
 MOST_DOUBLED = 8
 
 
 @dataclass(slots=True)
 class Pull:
-    """A question that is out, and what has come of the document that it is about."""
+    """A request that awaits its reply, and what has been received of the document it asks for."""
 
     call: int
     source: Source
@@ -43,7 +47,7 @@
     got: bytes = b""
 
     def piece(self, reply: Reply) -> str:
-        """Take a piece of a document; "" where it fits. Another head's first piece begins anew."""
+        """Add a page of a document; return the fault, "" for none. A page of another head starts over."""
         if self.of != reply.head:
             self.of, self.got = reply.head, b""
         if reply.offset != len(self.got) or len(self.got) + len(reply.page) > reply.size:
@@ -55,7 +59,7 @@
 
 @dataclass(slots=True)
 class Keeping:
-    """What becomes in force when it is on disk; `on` is the other region's gateway that has more."""
+    """A revision that becomes active once it is on disk; `continue_at` is a remote gateway with more."""
 
     number: int
     head: Head
@@ -67,34 +71,34 @@
 
 
 def shaped(reply: Reply) -> bool:
-    """Tell whether a reply can be one at all."""
+    """Return whether the fields of a reply are within their limits."""
     return reply.head.good and 0 <= reply.size <= DOCUMENT_BYTES and reply.offset >= 0
 
 
 class Senders:
-    """Who told a newer head lately, and from when on one of them may be asked."""
+    """The gateways that announced a newer revision recently, and when the next one may be asked."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._told: dict[str, tuple[tuple[int, int], int]] = {}
         self.after = 0  # µs before which nobody is asked
-        self._brought_by = 0  # µs before which nobody is asked as it may come by itself
+        self._brought_by = 0  # µs before which nobody is asked because deltas may arrive unrequested
         self._fails = self._refusals = 0
 
     def __bool__(self) -> bool:
-        """Tell whether there is anybody to be asked."""
+        """Return whether any gateway is known to have a newer revision."""
         return bool(self._told)
 
     @property
     def ask_at(self) -> int:
-        """Give the µs from which on one of them may be asked."""
+        """Return the time (µs) from which one of them may be asked."""
         return max(self.after, self._brought_by)
 
     def told(self, name: str, key: tuple[int, int], now: int, asked: bool = False) -> None:
-        """Remember a sender, the last one in place of the first; `asked`: see `revising.HeadHeard`.
+        """Remember a sender, which replaces the oldest; `wants_answer` as in `RevisionAnnounced`.
 
-        Danger: were each word that wants an answer waited for, those that come meanwhile, and whose answers
-        are lost, would put off the question for ever. Only the first is.
+        Only the first message that wants an answer delays the request. If each one did, messages that keep
+        arriving while their answers are lost would put it off for ever.
         """
         if not asked:
             self._brought_by = 0
@@ -106,60 +110,61 @@
         self._told[name] = key, now
 
     def drop(self, name: str) -> None:
-        """Forget a sender until it tells a newer head again."""
+        """Remove a sender until it announces a newer revision again."""
         self._told.pop(name, None)
 
     def best(self, own: tuple[int, int], now: int) -> str | None:
-        """Give the latest of those who told the newest head; None where nobody told a newer one lately."""
+        """Return the latest sender of the newest revision; None if nobody announced a newer one lately."""
         for name, (key, at) in list(self._told.items()):
             if key <= own or now - at > SENDER_TIME:
                 del self._told[name]
         return max(self._told, key=self._told.__getitem__) if self._told else None
 
     def failed(self, name: str, now: int) -> None:
-        """Wait a little, then ask another one."""
+        """Back off briefly, then ask another sender."""
         self.drop(name)
         off = min(LONGEST_OFF, BACK_OFF << min(self._fails, MOST_DOUBLED))
         self._fails += 1
         self.after = max(self.after, now + self._random.randint(off // 2, off))
 
     def refused(self, now: int) -> None:
-        """Wait longer: what they have does not check here."""
+        """Back off for longer, because what the senders have is not valid here."""
         self.after = now + min(LONGEST_REFUSED, REFUSED_OFF << min(self._refusals, MOST_DOUBLED))
         self._refusals += 1
 
     def well(self) -> None:
-        """Begin anew: something newer is in force."""
+        """Reset the backoff, because a newer revision is active."""
         self._fails = self._refusals = self.after = 0
 
 
 class Start:
-    """The time in which a gateway does not know yet whether the head that it begins with is old.
+    """The time after a start during which a gateway does not know whether its head is out of date.
 
-    Danger: one whose file was put back, or is gone, would number, or set viewers up, by what is over.
+    A gateway whose file was restored from a backup or lost must not number revisions or set viewers up by
+    outdated settings.
     """
 
     def __init__(self, others: int, abroad: int) -> None:
         self.over = not (others or abroad)
         self.by = 0
-        self.any = not (others or abroad)  # whether anybody was heard, if there is anybody
+        self.any = not (others or abroad)  # whether any gateway was heard, if there are others
         self._enough = min(HEARD_ENOUGH, others)
         self._heard: set[str] = set()
 
     def begin(self, now: int) -> None:
-        """Take the time."""
+        """Start the timeout."""
         self.by = now + SETTLE_TIME
 
     def heard(self, name: str) -> None:
-        """Book that a gateway told its head."""
+        """Record that a gateway announced its head."""
         self.any = True
         if not self.over and len(self._heard) < HEARD_ENOUGH:
             self._heard.add(name)
 
     def fault(self, head: Head) -> str:
-        """Tell what hinders orders at this head, "" for nothing.
+        """Return why orders are refused at this head, "" if they are not.
 
-        Danger: one that has lost its file and hears nobody would begin a term that others have already.
+        A gateway that lost its file and hears nobody could otherwise start a term that others have already.
         """
         if not self.over:
             return "this gateway has just started and does not know the others' revisions yet"
@@ -168,19 +173,19 @@
         return ""
 
     def look(self, now: int, behind: bool) -> None:
-        """See whether it is over; `behind` where a newer head is known that is not in force yet."""
+        """Check whether the phase is over; `is_behind` if a newer revision is known but not active yet."""
         enough = 0 < self._enough <= len(self._heard)
         self.over = self.over or now >= self.by or (enough and not behind)
 
 
 class Said:
-    """What operators were told already."""
+    """Log lines already written."""
 
     def __init__(self) -> None:
         self._all: dict[tuple[str, str], None] = {}
 
     def new(self, what: str, once: str) -> bool:
-        """Book it; False where it was said before."""
+        """Record a line; return False if it was written before."""
         if (what, once) in self._all:
             return False
         if len(self._all) >= MOST_SAID:
--- a/mintmast/decisions/gateways/revising.py
+++ b/mintmast/decisions/gateways/revising.py
@@ -1,8 +1,9 @@
-"""Configuration in force, as heads, events and commands: types and nothing else.
+"""Types of the shared configuration: revisions, messages between gateways, events and commands.
 
 A *document* is the shared part of the settings as canonical JSON bytes, a *patch* a JSON Merge Patch
-(RFC 7396) as canonical JSON bytes. A *revision* is what a publisher numbered: term, number, the digest of the
-document after it, and its patch. Times are whole microseconds. `docs/design/configuration.md` has it all.
+(RFC 7396) as canonical JSON bytes. A *revision* is one change numbered by a publisher: term, number, the
+digest of the document after it, and its patch. A gateway's *head* is its newest revision. Times are whole
+microseconds. The design is in `docs/design/configuration.md`.
 """
 
 from __future__ import annotations
@@ -12,28 +13,28 @@
 
 import msgspec
 
-# the highest term and number that are taken; beyond is a broken sender's. 11,000 changes a day reach it in
-# a hundred million years, and one term a second in a hundred thousand
+# highest term and number that are accepted; a sender with a higher one is faulty. 11,000 changes a day reach
+# it in a hundred million years, and one term a second in a hundred thousand
 MOST = (1 << 42) - 1
-# the patch that changes nothing: a take-over's, and with it the check tells whether a whole document is good
+# the patch that changes nothing: used by a take-over, and to validate a whole document
 NOTHING = b"{}"
 
-# (document, patch) -> the document after it, "", or None and the fault. Pure: the same bytes in give the same
-# out at every gateway of one program version. The whole document after the patch is checked, so that
-# check(document, NOTHING) gives a good canonical document back unchanged, byte by byte.
+# (document, patch) -> (patched document, "") or (None, reason). Pure: the same input gives the same output at
+# every gateway of one program version. The whole document after the patch is validated, so that with
+# `EMPTY_PATCH` a valid canonical document is returned unchanged, byte by byte.
 Check = Callable[[bytes, bytes], tuple[bytes | None, str]]
 
-# where a question goes: a gateway of the region by its name, or place in `configuration.abroad`
+# where a request goes: a gateway of the region by its name, or an index into `configuration.abroad`
 Source = str | int
 
 
 def digest_of(document: bytes) -> str:
-    """Give the digest of a canonical document: 16 hex digits of BLAKE2b."""
+    """Return the digest of a canonical document: 16 hex digits of BLAKE2b."""
     return hashlib.blake2b(document, digest_size=8).hexdigest()
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A revision's name. Order is (term, number); (0, 0) is what the settings say before any revision."""
+    """Identifies a revision, ordered by (term, number); (0, 0) is the settings file before any revision."""
 
     term: int = 0
     number: int = 0
@@ -41,37 +42,37 @@
 
     @property
     def key(self) -> tuple[int, int]:
-        """Give what is compared."""
+        """Return the key by which revisions are ordered."""
         return self.term, self.number
 
     @property
     def mark(self) -> int:
-        """Give the first four bytes of the digest, as words carry them."""
+        """Return the first four bytes of the digest, as membership messages carry them."""
         return int(self.digest[:8] or "0", 16)
 
     @property
     def good(self) -> bool:
-        """Tell whether it can be a head at all."""
+        """Return whether the fields are within their limits."""
         digits = len(self.digest) == 16 and set(self.digest) <= set("0123456789abcdef")
         return digits and 0 <= self.term <= MOST and 0 <= self.number <= MOST
 
     def __str__(self) -> str:
-        """Give it as operators read it."""
+        """Return the form shown to operators."""
         return f"{self.term}.{self.number}/{self.digest}"
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A revision with its patch, which is for the document of the revision before it."""
+    """A revision and its patch, which applies to the document of the revision before it."""
 
     head: Head
     patch: bytes
 
 
 class Stored(msgspec.Struct, frozen=True, gc=False):
-    """What a gateway begins with: from its file, or (0, 0) and the document of its settings.
+    """What a gateway starts with: from its file, or revision (0, 0) and the document of its settings.
 
-    `leads` is the term in which it is the publisher, 0 for none. `history` are the last revisions, the first
-    of them after `base`; both may be left out (the history then begins at `head`).
+    `leads` is the term in which it is the publisher, 0 for none. `history` has the latest revisions, the
+    first of them after `base`; both may be left out (the history then starts at `head`).
     """
 
     head: Head
@@ -81,13 +82,13 @@
     history: tuple[Delta, ...] = ()
 
 
-# Between gateways
+# Messages between gateways
 
 
 class Question(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
-    """Ask for what is after a head; with `of`, for the piece at `offset` of the document of that digest.
+    """Requests the revisions after one, or with `of` the page at `offset` of the document of that digest.
 
-    `whole` asks for the whole document though deltas would do: they did not fit here.
+    `whole` requests the whole document even if deltas would do, because they were not valid here.
     """
 
     term: int
@@ -99,10 +100,10 @@
 
 
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
-    """What another gateway says: its head, and deltas in order, or a piece of its document, or neither.
+    """The reply of another gateway: its head with deltas in order, or with a page of its document, or alone.
 
-    `size` is the length of the whole document where `page` is a piece of it at `offset`. `fork` says
-    that the asker's head has another digest there.
+    `size` is the length of the whole document if `page` is a part of it at `offset`. `fork` says that the
+    requester's head has another digest here.
     """
 
     head: Head
@@ -113,14 +114,14 @@
     fork: bool = False
 
 
-# In
+# Events
 
 
 class HeadHeard(msgspec.Struct, frozen=True, gc=False):
-    """Membership: a word of a gateway of the region told this head; `mark` as in `Head`.
+    """From membership: a gateway of the region announced this revision; `digest_prefix` as in `RevisionId`.
 
-    `deltas` are the revisions that this gateway lacks, as far as the word had room for them. `asked` says
-    that the word wants an answer: its sender sees by that what is missing here, and sends it.
+    `deltas` are revisions that this gateway lacks, as far as the message had room. `wants_answer` says that
+    the message is answered: its sender then sees what is missing here, and sends it.
     """
 
     peer: str
@@ -132,40 +133,40 @@
 
 
 class Pulled(msgspec.Struct, frozen=True, gc=False):
-    """A peer adapter: the answer to `AskRevisions` number `call`."""
+    """From a transport: the reply to `PullRevisions` number `call`."""
 
     call: int
     reply: Reply
 
 
 class PullFailed(msgspec.Struct, frozen=True, gc=False):
-    """A peer adapter: no answer to `AskRevisions` number `call` came in time, or none that is one."""
+    """From a transport: no valid reply to `PullRevisions` number `call` arrived in time."""
 
     call: int
 
 
 class Publish(msgspec.Struct, frozen=True, gc=False):
-    """An operator's change; `Ordered` with the same `order` answers it, once."""
+    """From an operator: publish a change; answered once by `OrderAnswered` with the same `order`."""
 
     order: int
     patch: bytes
 
 
 class TakeOver(msgspec.Struct, frozen=True, gc=False):
-    """An operator makes this gateway the publisher; `Ordered` with the same `order` answers it, once."""
+    """From an operator: make this gateway the publisher; answered once by `OrderAnswered`, same `order`."""
 
     order: int
 
 
 class Kept(msgspec.Struct, frozen=True, gc=False):
-    """The file: what `Keep` number `number` wanted is on disk, or (not `good`) may or may not be there."""
+    """From the file: the write `number` is durable, or (if not `is_durable`) may or may not be on disk."""
 
     number: int
     good: bool = True
 
 
 class Tick(msgspec.Struct, frozen=True, gc=False):
-    """The time of a wake has come; `due` is when it should have."""
+    """A timer has fired; `scheduled_at` is when it was due (µs)."""
 
     due: int
 
@@ -173,11 +174,11 @@
 Event = HeadHeard | Pulled | PullFailed | Publish | TakeOver | Kept | Tick
 
 
-# Out
+# Commands
 
 
 class AskRevisions(msgspec.Struct, frozen=True, gc=False):
-    """To a peer adapter: ask `source`; `Pulled` or `PullFailed` with this `call`, by `until` (µs)."""
+    """To a transport: send a request; `PullSucceeded` or `PullFailed` answers `call` by `deadline` (µs)."""
 
     call: int
     source: Source
@@ -186,11 +187,11 @@
 
 
 class Keep(msgspec.Struct, frozen=True, gc=False):
-    """To the file: write this, durably; `Kept` with this `number` answers, never before `take` returned.
+    """To the file: write a revision durably; `WriteFinished` answers `number`, after `handle` has returned.
 
-    One is out at a time; a disk that stands still is answered, not good, within seconds. `deltas` lead from
-    the document of before to this one; without any the document came whole, and what was kept before it is
-    of no use. `leads` as in `Stored`. A gateway without a file answers `Kept` as if it had one.
+    One write is pending at a time; on a disk that hangs it ends as not durable within seconds. `deltas` lead
+    from the previous document to this one; without any, the document came as a whole and the stored history
+    is of no use. `publisher_term` as `leads` in `Stored`. A gateway without a file answers as if it had one.
     """
 
     number: int
@@ -201,14 +202,14 @@
 
 
 class InForce(msgspec.Struct, frozen=True, gc=False):
-    """Put this document in force; it was checked. `head` goes into the words of membership."""
+    """Activate this validated document; `head` is announced in membership messages."""
 
     head: Head
     document: bytes
 
 
 class Ordered(msgspec.Struct, frozen=True, gc=False):
-    """The answer to an operator: `head` is the new revision's where `good`, else the one in force."""
+    """The answer to an operator: `head` is the new revision's if `is_accepted`, else the active one's."""
 
     order: int
     good: bool
@@ -217,14 +218,14 @@
 
 
 class Say(msgspec.Struct, frozen=True, gc=False):
-    """A log line for operators; said once for each cause, not at each repetition."""
+    """A log line for operators, written once for each cause and not for each repetition."""
 
     what: str
     about: str = ""
 
 
 class Wake(msgspec.Struct, frozen=True, gc=False):
-    """Call back with `Tick(at)`; an earlier wake that was asked for may still come and does nothing."""
+    """Send a `TimerFired` at this time (µs); an earlier timer may still fire and is then ignored."""
 
     at: int
 
--- a/mintmast/decisions/gateways/revisions.py
+++ b/mintmast/decisions/gateways/revisions.py
@@ -1,10 +1,11 @@
-"""Configuration in force: who numbers revisions, who has which, and how they come to every gateway.
+"""Replication of the shared configuration: who numbers revisions, and how they reach every gateway.
 
-An epidemic (Demers and others, PODC 1987): every word of membership carries its sender's head, and who hears
-of a newer one pulls what is missing from that sender. One publisher at a time numbers, in a term of its own.
+An epidemic protocol (Demers and others, PODC 1987): membership messages announce the sender's head, and a
+gateway that learns of a newer one pulls what it lacks from that sender. One publisher at a time numbers
+revisions, in a term of its own.
 
-Pure: `take(now, event)` gives commands, `answer(question)` what others get; times in µs, random numbers from
-the generator handed in. `docs/design/configuration.md` has the dangers and what was weighed.
+Pure: `handle(now, event)` returns commands, `answer(request)` the reply to another gateway. Times are in µs;
+the random generator is passed in. `docs/design/configuration.md` has the failure modes and alternatives.
 """
 
 from __future__ import annotations
@@ -50,19 +51,19 @@
     digest_of,
 )
 
-# µs between a region's questions to other regions, whatever its size: two a second, whatever fails
+# µs between the requests of a region to other regions, whatever its size: two a second, also while they fail
 ABROAD_EVERY = 500 * MS
 
 
 class Revisions:
-    """One gateway's part. `others` counts the region's other gateways, `abroad` others' addresses."""
+    """Replica of one gateway. `others` counts its region's other gateways, `remote` addresses elsewhere."""
 
     def __init__(
         self, stored: Stored, check: Check, rng: random.Random, others: int = 0, abroad: int = 0
     ) -> None:
         self.head, self.document = stored.head, stored.document
         self.publisher = Publisher(stored.leads, stored.head.term, rng)
-        self.refused, self.fault = Head(), ""  # what was told and did not check here, and why
+        self.refused, self.fault = Head(), ""  # the last revision that was not valid here, and why
         self.forks = 0
         kinds = ("bad head", "bad question", "bad reply", "late reply", "bad digest", "refused")
         self.dropped = dict.fromkeys(kinds, 0)
@@ -82,20 +83,20 @@
 
     @property
     def settled(self) -> bool:
-        """Tell whether the head is known not to be old, or enough time has gone by since the start."""
+        """Return whether the head is known to be current, or the startup phase has timed out."""
         return self._start.over
 
     # Events
 
     def begin(self, now: int) -> list[Command]:
-        """Start: the document begun with is in force."""
+        """Activate the document that the gateway starts with."""
         self._start.begin(now)
         self._far_next(now)
         self._out.append(InForce(self.head, self.document))
         return self._take_out(now)
 
     def take(self, now: int, event: Event) -> list[Command]:
-        """Take an event and give the commands that follow."""
+        """Handle an event and return the commands that follow."""
         if isinstance(event, HeadHeard):
             self._head_heard(now, event)
         elif isinstance(event, Pulled):
@@ -128,7 +129,7 @@
         return out
 
     def _tick(self, now: int) -> None:
-        """Do what is due. A pull whose end nobody told ends here: one lost answer must not be the last."""
+        """Do what is due. Pulls past their deadline end here, so one lost reply does not block the next."""
         for pull in (self._near, self._far):
             if pull is not None and now >= pull.until:
                 self._fail(now, self._ended(pull.call))
@@ -138,13 +139,13 @@
                 self._ask(now, self._random.randrange(self._abroad))
 
     def _far_next(self, now: int) -> None:
-        """Draw when to ask another region: the mean gap grows with the region, so that all ask as often."""
+        """Schedule a pull from another region; the mean interval grows with the region's size."""
         if self._abroad:
             mean = ABROAD_EVERY * (self._others + 1)
             self._far_at = now + 1 + min(10 * mean, int(self._random.expovariate(1 / mean)))
 
     def _go_on(self, now: int) -> None:
-        """Take what waited: orders, then a pull; and see whether the start is over."""
+        """Process waiting orders, then start a pull, then check whether the startup phase is over."""
         while self.publisher.orders and self._keeping is None:
             self._order(now, self.publisher.orders.popleft())
         if self._senders and self._keeping is None and self._near is None and now >= self._senders.ask_at:
@@ -154,7 +155,7 @@
         if not self._start.over:
             self._start.look(now, bool(self._near or self._keeping or self._senders))
 
-    # What others tell
+    # Announcements
 
     def _head_heard(self, now: int, event: HeadHeard) -> None:
         key, own = (event.term, event.number), self.head.key
@@ -174,11 +175,11 @@
         self._brought(now, event)
 
     def _brought(self, now: int, event: HeadHeard) -> None:
-        """Take revisions that came with a word, checked as those that were asked for.
+        """Apply deltas that came with an announcement, validated like requested ones.
 
-        Danger: one that does not check here comes again with every other word, and each check is one of the
-        whole document; after the first only a whole document is taken. What comes late, or after a gap, is
-        left to a question.
+        After an invalid one only a whole document is accepted: it would come again with every other message,
+        and each validation processes the whole document. Deltas that are late or follow a gap are ignored; a
+        request fetches what is missing.
         """
         own = self.head
         deltas = tuple(each for each in event.deltas if each.head.key > own.key)
@@ -189,15 +190,15 @@
             self._deltas(now, Pull(0, event.peer, own, now), Reply(deltas[-1].head, deltas))
 
     def _forked(self, about: str, mark: int) -> None:
-        """Book that one number names two documents; neither is put over the other.
+        """Record that one number stands for two documents, and replace neither of them.
 
-        Danger: whoever applied it would have two gateways change places for ever, and operators see nothing.
+        Otherwise two gateways could replace each other's document for ever, unnoticed by operators.
         """
         self._resign(self.head.term)
         self.forks += self._say("fork", about, f"{self.head}, {mark:08x}")
 
     def _resign(self, term: int) -> None:
-        """Be publisher no more where a later term is told, or a number of this one that is not from here."""
+        """Stop publishing if a later term is announced, or a revision of this term that is not from here."""
         lost, keeping = self.publisher.lose(term), self._keeping
         if keeping is not None and 0 < keeping.leads <= term:
             keeping.leads, lost = 0, True
@@ -205,7 +206,7 @@
             self._say("publisher_no_more", f"term {term} is numbered elsewhere")
 
     def _say(self, what: str, about: str, once: str = "") -> bool:
-        """Say it, but once for each `once`; tell whether it was said now."""
+        """Log an event once for each `once`; return whether it was logged now."""
         if not self._said.new(what, once or about):
             return False
         self._out.append(Say(what, about))
@@ -214,7 +215,7 @@
     # Pulls
 
     def _ask(self, now: int, source: Source, on: Pull | None = None) -> None:
-        """Ask for what is after the head, or go on with a document that comes in pieces."""
+        """Request what follows the head, or the next page of a document."""
         self._calls += 1
         self.pulls["asked"] += 1
         near, head = isinstance(source, str), self.head
@@ -231,7 +232,7 @@
         self._out.append(AskRevisions(pull.call, source, question, pull.until))
 
     def _ended(self, call: int) -> Pull | None:
-        """Give the pull of this number, which is out no more; None for one that ended before."""
+        """Remove the pull of this number and return it; None if it has already ended."""
         for pull in (self._near, self._far):
             if pull is not None and pull.call == call:
                 if pull is self._near:
@@ -243,7 +244,7 @@
         return None
 
     def _fail(self, now: int, pull: Pull | None) -> None:
-        """Go on without this source for now."""
+        """Back off from the source of a pull that failed."""
         if pull is not None:
             self.pulls["failed"] += 1
             if isinstance(pull.source, str):
@@ -260,9 +261,9 @@
             if reply.head.key == self.head.key and reply.head.digest != self.head.digest:
                 self._forked(f"{reply.head} of {pull.source}", reply.head.mark)
             if isinstance(pull.source, str) and reply.head.key <= pull.since.key:
-                self._fail(now, pull)  # it told a newer head and has none
+                self._fail(now, pull)  # it announced a newer head and does not have it
         elif self._keeping is not None or pull.since != self.head:
-            return  # another pull was quicker: what is missing now is asked for again
+            return  # another pull was faster: what is still missing is requested again
         else:
             self.publisher.heard(reply.head.term)
             self._resign(reply.head.term)
@@ -281,7 +282,7 @@
         self._fail(now, pull)
 
     def _deltas(self, now: int, pull: Pull, reply: Reply) -> None:
-        """Take revisions one after the other; each is checked here too, and must give what it says."""
+        """Apply the deltas of a reply; each is validated here too and must give the digest it names."""
         head, document, good, fault, why = chain(self._check, self.head, self.document, reply)
         if fault == "refused":
             self._refuse(now, reply.deltas[len(good)].head, why)
@@ -296,7 +297,7 @@
             self._bad(now, pull, fault)
 
     def _page(self, now: int, pull: Pull, reply: Reply) -> None:
-        """Take a piece of a whole document, and the document with its last piece."""
+        """Add a page of a document, and apply the document when it is complete."""
         fault = pull.piece(reply)
         if fault:
             self._bad(now, pull, fault)
@@ -312,21 +313,21 @@
         self._keep(reply.head, pull.got, ())
 
     def _refuse(self, now: int, head: Head, why: str) -> None:
-        """Stay with the head in force; ask for a whole document, which may mend it, in a while."""
+        """Keep the active revision, and request a whole document, which may be valid, after a while."""
         self.refused, self.fault, self._whole = head, why[:300] or "it does not check", True
         self.dropped["refused"] += 1
         self._senders.refused(now)
         self._say("refused", f"{head}: {self.fault}")
 
-    # What becomes in force
+    # Activation
 
     def _keep(
         self, head: Head, document: bytes, deltas: tuple[Delta, ...], leads: int = 0, order: int | None = None
     ) -> None:
-        """Write first, then it is in force and told.
+        """Write a revision to disk; it is activated and announced only after that.
 
-        Danger: a gateway that dies and comes back with an older revision, and a publisher that gives the
-        number of one which others have already to another change.
+        Otherwise a gateway could crash and return with an older revision, and a publisher could reuse a
+        number that others have already received for another change.
         """
         self._keeps += 1
         self._keeping = Keeping(self._keeps, head, document, deltas, leads, order)
@@ -338,7 +339,7 @@
             return
         self._keeping = None
         if not event.good and kept.order is not None:
-            # it may be on disk: its number must never be given to another change
+            # it may be on disk, so its number must never be used for another change
             self.publisher.heard(kept.head.term)
             self.publisher.leads = 0
             self._say("publisher_no_more", f"{kept.head} could not be written")
@@ -368,7 +369,7 @@
     # Orders
 
     def _order(self, now: int, event: Order) -> None:
-        """Give a change its number, where it is good: a bad one gets none and never leaves."""
+        """Assign a number to a valid change; an invalid one gets no number and is never sent."""
         behind = self._senders.best(self.head.key, now) is not None
         fault = self.publisher.fault(event, self.head.number, self._start.fault(self.head), behind)
         if fault:
@@ -386,7 +387,7 @@
         self._out.append(Ordered(order, False, reason, self.head))
 
     def answer(self, question: Question) -> Reply | None:
-        """Answer another gateway; None, counted, for what is no question."""
+        """Return the reply to another gateway's request; None, counted, if it is invalid."""
         reply = self.history.answer(self.head, self.document, question)
         if reply is None:
             self.dropped["bad question"] += 1
--- a/mintmast/decisions/gateways/rumours.py
+++ b/mintmast/decisions/gateways/rumours.py
@@ -1,12 +1,12 @@
-"""Which words of membership tell the configuration in force, and which bring another what it is missing.
+"""Which membership messages announce the active revision, and which carry the deltas that the receiver lacks.
 
-Rumour mongering with anti-entropy behind it (Demers and others, PODC 1987, both push and pull). A head in
-every word costs 13 bytes up to thirteen times a second, though one changes each eight seconds; and a question
-over HTTP for each change, on a connection of its own, a kilobyte more. So the head goes with a probe twice a
-second and with the first ones after a change, an answer tells one where the question did, and who sees by it
-that another is behind sends along what it lacks, where that is small. HTTP is for the rest.
+Rumour mongering backed by anti-entropy, both push and pull (Demers and others, PODC 1987). Announcing the
+revision in every message would cost 13 bytes up to thirteen times a second, though one changes only every
+eight seconds; requesting each change over HTTP, on a connection of its own, costs a kilobyte more. So probes
+announce the revision twice a second and right after a change, and an answer announces it if the request did.
+A gateway that sees that another is behind sends the deltas along if they are small. HTTP serves the rest.
 
-Pure: time is handed in, µs.
+Pure: times are passed in, in µs.
 """
 
 from __future__ import annotations
@@ -15,48 +15,49 @@
 
 from mintmast.decisions.gateways.revising import Delta
 
-Told = tuple[int, int, int]  # term, number and mark of a head, as `words.HeadedWord` has them
+Told = tuple[int, int, int]  # term, number and digest prefix of a `RevisionId`
 
-# probes that tell a head after it has changed: three doublings of those who know, within a second where
-# probes go fast; and µs after which any probe does, which where they go slowly are all
+# probes that announce a revision after it changed: three doublings of the gateways that know it, within a
+# second while probes go fast; and µs after which any probe announces it, which is all there is while they go
+# slowly
 FRESH, AGAIN_TOLD = 6, 450_000
-# µs after which a gateway is sent the same revisions again: they were lost, or refused there, and then a word
-# each time would be too much
+# µs before the same deltas are sent to a gateway again: they were lost, or rejected there, and in that case
+# sending them with each message would be too much
 AGAIN = 1_000_000
-# bytes of revisions in one word, patches and names: what a datagram of 1,200 has room for beside names of 64
+# bytes of deltas in one message, patches and ids: what fits into a datagram of 1,200 beside names of 64 bytes
 ROOM = 700
 
 
 class Rumour:
-    """One gateway's part. `after` gives the revisions after a head, at most so many bytes of them."""
+    """Revision gossip of one gateway. `deltas_after` returns those after a revision, up to a size in bytes."""
 
     def __init__(self, after: Callable[[Told, int], tuple[Delta, ...]]) -> None:
         self.head: Told | None = None
         self._after = after
         self._fresh = self._next = 0
-        self._brought: dict[str, int] = {}  # to whom what is missing was sent since the last change, and when
+        self._brought: dict[str, int] = {}  # when deltas were sent to a gateway since the last change
 
     def changed(self, head: Told) -> None:
-        """Take what is in force now."""
+        """Set the active revision."""
         if head != self.head:
             self.head, self._fresh = head, FRESH
             self._brought.clear()
 
     def first(self, now: int) -> bool:
-        """Tell whether a probe that goes now tells the head."""
+        """Return whether a probe sent now announces the active revision, and count it if so."""
         if not self._fresh and now < self._next:
             return False
         self._fresh, self._next = max(0, self._fresh - 1), now + AGAIN_TOLD
         return True
 
     def owes(self, now: int, to: str, told: Told | None) -> bool:
-        """Tell whether a gateway that told this is behind, and was not sent what it lacks just now."""
+        """Return whether a gateway is behind and was not sent the deltas recently."""
         if told is None or self.head is None or told[:2] >= self.head[:2]:
             return False
         return now - self._brought.get(to, now - AGAIN) >= AGAIN
 
     def bring(self, now: int, to: str, told: Told) -> tuple[Delta, ...]:
-        """Give what a gateway lacks that told this, as far as a word has room for it."""
+        """Return the deltas that a gateway with this revision lacks, as far as they fit into a message."""
         if not self.owes(now, to, told):
             return ()
         self._brought[to] = now
--- a/mintmast/decisions/gateways/standing.py
+++ b/mintmast/decisions/gateways/standing.py
@@ -41,7 +41,7 @@
 
 
 def refuted(own: Standing, told: Standing) -> Standing:
-    """Return a gateway's own status after a report about it: alive, with a higher incarnation if it must refute."""
+    """Return a gateway's own status after a report about it: alive, above what it must refute."""
     if told.start != own.start or told <= own:
         return own
     return Standing(own.start, told.incarnation + (told.state is not State.ALIVE), State.ALIVE)
@@ -75,7 +75,7 @@
     asked_first: bool  # claims and requests go to it before others
     may_vote: bool  # a vote of it may still arrive
     may_own: bool  # keys that it owned may be in use, so nobody else gets them
-    may_spend: bool  # it counts when shared budgets and the cold-title rate are divided
+    may_spend: bool  # it counts when budgets and the slow-start rate are shared out
     relied_on: bool  # it counts among those that carry load
     gone: bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
     reason: str
