--- a/mintmast/decisions/gateways/rumours.py
+++ b/mintmast/decisions/gateways/rumours.py
@@ -29,7 +29,7 @@
 
 
 class Rumour:
-    """Revision gossip of one gateway. `deltas_after` returns those after a revision, up to a size in bytes."""
+    """Revision gossip of one gateway. `deltas_after` returns those after a revision, up to a size."""
 
     def __init__(self, after: Callable[[Told, int], tuple[Delta, ...]]) -> None:
         self.head: Told | None = None
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership among gateways: the order of standings, the model, hard cases on virtual time, mutations."""
+"""Membership: the order of statuses, a model check, hard cases on virtual time, mutations, and traffic."""
 
 import functools
 import itertools
@@ -26,8 +26,8 @@
 from mintmast.lab.crowd import SECOND, Audit, Crowd, weather
 
 STANDINGS = st.builds(Standing, st.integers(0, 3), st.integers(0, 3), st.sampled_from(State))
-# s after the last fault in which all must believe the same: a round of probes of five gateways, a
-# suspicion, its refutation, and as much again for slowness learnt meanwhile
+# seconds after the last fault in which all views must agree: a round of probes of five gateways, a suspicion,
+# its refutation, and as much again for the health penalty
 SETTLED = 10
 
 
@@ -62,14 +62,13 @@
     assert window.take(8, 1) and not window.take(7, 10**6)
 
 
-# The model: observers A and B, subject X. Every word that was ever told may come at any time, any number of
-# times, or never; X may be stopped, may die and start again once; a refusal may be late. The observers' steps
-# are those of `Members`, with the functions that it uses.
-# One observer may start anew and know nothing. What is told of a subject never bears on what is told of
-# another, and a pause of an observer only takes steps away: so with three members, each of them both, nothing
-# more can happen to one subject than here, and the three walks stand side by side.
-# State: X (start, incarnation, how it is), what A and B hold (standing, who hears nothing), refusals under
-# way to each (the start that was known), every word ever told.
+# The model: observers A and B, subject X. Every update ever sent may arrive at any time, any number of times,
+# or never; X may be paused, may die and start again once; a refused connection may be reported late. The
+# steps of the observers are those of `Members`, with the functions that it uses. One observer may restart and
+# know nothing. Updates about one subject never affect what is known about another, and a pause of an observer
+# only removes steps. So three members, each of them both observer and subject, cannot reach more states per
+# subject than this model has. State: X (generation, incarnation, mode), what A and B hold (status, observers
+# that hear nothing), refusals on the way to each (the generation that was known), all updates ever sent.
 ALIVE = Standing(1, 0, State.ALIVE)
 
 
@@ -128,16 +127,16 @@
 
 
 def that_matters(state):
-    """Take out words that can change nothing any more, whenever they come."""
+    """Remove updates that can no longer change anything, whenever they arrive."""
     (start, inc, mode, forgets), held, refusals, facts = state
     least = min([known for known, _ in held] + [Standing(start, inc, State.ALIVE)])
-    alike = sorted(zip(held, refusals, strict=True), key=repr)  # the observers are
+    alike = sorted(zip(held, refusals, strict=True), key=repr)  # the observers are interchangeable
     held, refusals = zip(*alike, strict=True)
     return (start, inc, mode, forgets), held, refusals, frozenset(told for told in facts if told > least)
 
 
 def walk(most=1, forgets=1):
-    """Walk all states up to an incarnation, with observers' starts."""
+    """Visit all states up to an incarnation, with restarts of the observers."""
     first = (1, 0, "up", forgets), ((ALIVE, frozenset()),) * 2, (None, None), frozenset({ALIVE})
     seen, front = {first}, [first]
     while front:
@@ -146,7 +145,7 @@
         for known, _ in held:
             gone = known.state is State.DEAD
             assert not (gone and known.start == start and mode != "down"), f"dead, but lives: {state}"
-        if mode == "up" and inc < most:  # once all is heard, all know that it lives
+        if mode == "up" and inc < most:  # once every update has arrived, all know that it is alive
             own = Standing(start, inc, State.ALIVE)
             for told in sorted(facts):
                 own = refuted(own, told)
@@ -159,7 +158,7 @@
 
 
 def test_every_state_of_two_observers_and_a_subject():
-    walk(0)  # with an observer's start; both together are played by hand
+    walk(0)  # with an observer's restart; incarnations and restarts together take too long here
     seen = walk(forgets=0)
     print(f"{len(seen)} states")
     assert {known.state for _, held, _, _ in seen for known, _ in held} == set(State) - {State.LEFT}
@@ -181,7 +180,7 @@
         walk(forgets=0)
 
 
-# The table
+# Policies
 
 
 def test_only_proofs_make_a_gateway_gone_and_silence_takes_away_nothing_but_trust():
@@ -189,7 +188,7 @@
     assert gone == {Proof.REFUSED, Proof.LATER_START, Proof.ORDER} and set(CONCLUSIONS) == set(Proof)
     for proof, row in CONCLUSIONS.items():
         assert row.may_own == row.may_spend or proof is Proof.LEFT
-        assert row.may_own is not row.gone  # keys are free again only with a proof
+        assert row.may_own is not row.gone  # keys are released only on proof
     assert live_counts([Proof.HEARD, Proof.CONFIRMED, Proof.REFUSED]) == (3, 2)
 
 
@@ -396,11 +395,11 @@
     assert any(play(seed).faults for seed in range(8))
 
 
-# What it costs
+# Traffic
 
 
 def seen(crowd, seconds, names=None):
-    """Give words and bytes a second of each gateway, the most and the mean."""
+    """Return messages and bytes a second of each gateway, the maximum and the mean of both."""
     sent, bytes_ = dict(crowd.sent), dict(crowd.bytes)
     crowd.run(seconds)
     names = [each for each in names or crowd.names if each in crowd.parts]
@@ -419,7 +418,7 @@
     _, mean, _, _ = seen(crowd, 4)
     assert mean > 6 and {part.others["g3"].proof for name, part in crowd.parts.items()} == {Proof.CONFIRMED}
     crowd.run(10)
-    most, mean, _, told = seen(crowd, 20)  # and again where all hold one for lost
+    most, mean, _, told = seen(crowd, 20)  # the same again with one member lost
     assert 3.5 < mean < 6 and told < 500
     crowd.start("g3")
     crowd.run(4)
@@ -430,7 +429,7 @@
     crowd = Crowd(30, 5)
     crowd.run(15)
     odd = crowd.parts["g4"]
-    for name in ("g7", "g9"):  # it has never heard of these, as far as it knows
+    for name in ("g7", "g9"):  # as if it had never heard of these
         odd._set(crowd.now, odd.others[name], Standing(), Proof.NEVER_HEARD)
     crowd.run(6)
     assert crowd.agree() and odd.others["g7"].proof is odd.others["g9"].proof is Proof.HEARD
@@ -453,7 +452,7 @@
 def test_digests_tell_every_two_changes_apart_and_what_is_kept_is_what_stands():
     marks = {mark_of(f"g{n}", Standing(1, m, state)) for n in range(20) for m in range(5) for state in State}
     assert len(marks) == 500 and mark_of("g", Standing()) == 0
-    # what two change alike must not cancel out, as it does with sums and with CRCs
+    # two equal changes must not cancel out, as they do with sums and with CRCs
     both = [mark_of(f"g{n}", Standing(1, 0)) ^ mark_of(f"g{n}", Standing(1, 1)) for n in range(50)]
     assert len(set(both)) == 50
     crowd = Crowd(9, 4, loss=0.1)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Configuration in force: every order of a small model, mutations, random weather, bad input, the wire."""
+"""Revisions: every order of a small model, mutations, random faults, invalid input, and the transport."""
 
 import json
 import os
@@ -39,7 +39,7 @@
 from mintmast.peers import PeerLines, Roster
 
 SECOND = 1_000_000
-# s after the last fault in which all that run must have the same in force: the target
+# seconds after the last fault in which all running gateways must have the same revision active: the target
 TARGET = 18
 
 
@@ -49,7 +49,7 @@
     monkeypatch.setattr(pulls, "REFUSED_OFF", 0)
 
 
-# more by hand: see docs/design/configuration.md
+# larger ones take too long here: see docs/design/configuration.md
 WALKS = [(1, 0, 1, 3000), (1, 1, 0, 3000), (2, 1, 1, 3000)]
 
 
@@ -59,7 +59,7 @@
     assert not fault and states > 1000
 
 
-# what is taken out, and the way on which that shows
+# each function disables one safeguard and returns the steps on which that must show
 def pulled_by_c(patch):
     word = [("word", "c", "a"), ("reply", "c"), ("kept", "c", True)]
     return [("publish", "a", patch), ("kept", "a", True), *word]
@@ -115,7 +115,7 @@
 
 
 def follow(way):
-    """Play a way as far as it can be gone; gives the fault."""
+    """Play the steps as far as they are possible; return the fault."""
     model = Model(fleet(), 2, 1, 1, 2)
     for part in model.parts.values():
         part._start.over = True
@@ -148,7 +148,7 @@
     model.play(("word", "a", "c", model.parts["c"].head))
     assert model.parts["c"].document == b'{"n":9}' and model.parts["c"].forks == model.parts["a"].forks == 1
     model.take("a", Publish(1, b"{}"))
-    assert not model.kept and not model.parts["a"].publisher.leads  # it may not number any more
+    assert not model.kept and not model.parts["a"].publisher.leads  # it may no longer publish
     for step in (("over", "b"), ("kept", "b", True), ("word", "c", "b", model.parts["b"].head)):
         model.play(step if step[0] != "word" else (*step[:3], model.parts["b"].head))
     model.play(("reply", model.calls[0]))
@@ -156,10 +156,10 @@
     assert model.parts["c"].head == model.parts["b"].head and model.parts["c"].document == BEGUN
 
 
-# Random scripts of real `Members` and `Revisions`
+# Random faults on the real `Members` and `Revisions`
 
 
-# 500 by hand (SEEDS=500)
+# SEEDS=500 runs more of them
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SEEDS", "40"))))
 def test_after_any_weather_all_have_one_head_within_the_target(seed):
     net = Spread(7, seed, 2)
@@ -175,7 +175,7 @@
     assert max(each[-1][1].number for each in net.force.values()) > 3
 
 
-# Bad input, and the wire
+# Invalid input, and the transport
 
 
 def settled(others=2, stored=None):
@@ -223,7 +223,7 @@
     assert part.dropped[why] == 1 and part.document == BEGUN
     assert any(isinstance(each, Say) for each in out) and not any(isinstance(each, Keep) for each in out)
     assert part.take(3, Pulled(ask.call, reply)) == [] and part.dropped["late reply"] == 1
-    # and the next sender is asked, after a while
+    # after a backoff the next sender is asked
     wait = 5 * SECOND
     (ask,) = asks(part.take(wait, HeadHeard("c", 1, 2, 7)))
     good = (
@@ -276,7 +276,7 @@
 
 
 def gateway(world, name, part, members="abc"):
-    """Give a gateway's two ways to the others, with `part` on them."""
+    """Connect `part` to the two transports of a gateway; return its event handler and membership."""
     node, places = world.node(name), {each: (each, 7946) for each in members}
     lines = PeerLines(node, name, 1, places, ["x" * 32], 30, None, (name, 7946))
     met = Roster(node, name, 1, dict(places), ["x" * 32], (name, 7946), 1, lambda *_, **__: None)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Membership on the network: sealed bytes, gateways in memory, processes of `mintmast serve`, commands."""
+"""Transport of membership: authenticated bytes, gateways in memory, real processes, and the commands."""
 
 import json
 import signal
@@ -21,7 +21,7 @@
 from mintmast.peers.roster import MOST_BYTES, Roster
 
 SECRETS = ["a secret of thirty-two characters", "another one of thirty-two letters"]
-# s of real time that a process may take for what is waited for; nothing is judged by it
+# seconds of real time that a process may need; no assertion measures it
 PATIENCE = 40
 
 
@@ -102,7 +102,7 @@
 
 
 class Region:
-    """Processes of `mintmast serve`, asked as an operator asks."""
+    """Processes of `mintmast serve`, queried as by an operator."""
 
     def __init__(self):
         self.stage = stage_of(LoopbackStage)
--- a/tests/test_rumours.py
+++ b/tests/test_rumours.py
@@ -1,4 +1,4 @@
-"""Which words tell the configuration in force, what they bring along, and when it is asked for instead."""
+"""Which messages announce a revision, which deltas they carry, and when these are requested instead."""
 
 import random
 
@@ -55,7 +55,7 @@
     return [each for each in out if isinstance(each, AskRevisions)]
 
 
-# What a word brings
+# What a message carries
 
 
 def test_revisions_after_a_head_as_far_as_there_is_room_and_none_after_another_one_of_its_number():
@@ -118,7 +118,7 @@
     assert not same.deltas and not newer.deltas and head_of(newer) == told(DELTAS[1].head)
     (older,) = words(part.take(3, of_b(Kind.PING, 9, 4, ONE)))
     assert older.number == 9 and older.deltas == tuple(DELTAS[:2])
-    # an answer that tells an older head is answered once more, with that and nothing else, and no more
+    # an answer that announces an older revision is answered once, with deltas and no updates
     part.rumour.changed(told(DELTAS[1].head)), part.rumour._brought.clear()
     (more,) = words(part.take(4, of_b(Kind.ACK, 99, 5, ONE)))
     assert (more.kind, more.number, more.news) == (Kind.ACK, 0, ()) and more.deltas == tuple(DELTAS[:2])
@@ -142,7 +142,7 @@
 MOST = 1 << 42
 
 
-# What comes of it
+# What the receiver does with it
 
 
 def test_what_a_word_brings_is_checked_written_and_in_force():
@@ -159,9 +159,7 @@
     part = settled()
     out = part.take(1, HeadHeard("a", *told(DELTAS[9].head), tuple(DELTAS[:2])))
     (keep,) = [each for each in out if isinstance(each, Keep)]
-    assert (
-        part.take(2, HeadHeard("c", *told(DELTAS[9].head), tuple(DELTAS[:4]))) == []
-    )  # one is being written
+    assert part.take(2, HeadHeard("c", *told(DELTAS[9].head), tuple(DELTAS[:4]))) == []  # a write is pending
     (ask,) = asks(part.take(3, Kept(keep.number)))
     assert ask.source == "c" and ask.question.number == DELTAS[1].head.number
     late = settled(stored=Stored(DELTAS[4].head, DOCUMENTS[5]))
@@ -176,7 +174,7 @@
     part = settled()
     word = HeadHeard("a", *told(DELTAS[0].head), asked=True)
     assert asks(part.take(1, word)) == []
-    for at in range(2, 2 + pulls.BRING_TIME, 10 * MS):  # more of them, whose answers are lost
+    for at in range(2, 2 + pulls.BRING_TIME, 10 * MS):  # further messages whose answers are lost
         assert asks(part.take(at, HeadHeard("c", *told(DELTAS[0].head), asked=True))) == []
     due = 1 + pulls.BRING_TIME
     assert part._due == due
@@ -192,7 +190,7 @@
 
 
 def test_only_words_that_want_an_answer_tell_a_head_of_their_own_accord():
-    """A relayed answer that told one would look like one that brings nothing, and be asked about."""
+    """A relayed answer with a revision would look like one without deltas, and trigger a request."""
     part = members()
     for number in range(8):
         for word in words(part.take(number * AGAIN_TOLD, of_b(Kind.ASK, number, number + 1))):
@@ -272,11 +270,11 @@
     assert took < 7.85
 
 
-# Taken out, each of these is missed by one of the tests above
+# Mutations of the code: each one breaks one of the tests above
 
 
 def test_a_refused_revision_costs_no_words_beyond_those_of_every_second(monkeypatch):
-    """One gateway of another version refuses what all others have."""
+    """One gateway of another program version rejects a revision that all others have."""
     net = Spread(8, 1, check=check)
     net.run(6)
     net.take_over("g0")
@@ -295,7 +293,7 @@
     more = sum(net.sent.values()) - sum(before.values())
     heads = {name: part.head.number for name, part in net.configuration.items()}
     assert heads.pop("g5") == 1 and set(heads.values()) == {2} and odd.fault == "odd"
-    # at most a word a second of each of the seven others
+    # at most one message a second from each of the seven others
     assert more - calm <= 7 * 11 and odd.dropped["refused"] < 6
 
 
