--- a/mintmast/decisions/gateways/history.py
+++ b/mintmast/decisions/gateways/history.py
@@ -120,13 +120,13 @@
     Exceptions are caught because a validator that raises on one odd input would crash all gateways at once.
     """
     if len(patch) > PATCH_BYTES:
-        return None, f"a patch of over {PATCH_BYTES} bytes"
+        return None, f"the patch is larger than {PATCH_BYTES} bytes"
     try:
         after, why = check(document, patch)
     except (ValueError, TypeError, LookupError, ArithmeticError, RecursionError) as error:
-        return None, f"the check failed: {error}"[:300]
+        return None, f"validation raised an error: {error}"[:300]
     if after is not None and len(after) > DOCUMENT_BYTES:
-        return None, f"a document of over {DOCUMENT_BYTES} bytes"
+        return None, f"the document would be larger than {DOCUMENT_BYTES} bytes"
     return after, why
 
 
--- a/mintmast/decisions/gateways/members.py
+++ b/mintmast/decisions/gateways/members.py
@@ -540,7 +540,7 @@
         if told.start > self.own.start:
             self._condemn("a later process has this gateway's name")
         elif told.start == self.own.start and told.state is State.DEAD and told > self.own:
-            self._condemn("the others hold this process for dead")
+            self._condemn("the other gateways consider this process dead")
         after = refuted(self.own, told)
         if self.own.state is not State.LEFT and after != self.own:
             self._table ^= mark_of(self.name, self.own) ^ mark_of(self.name, after)
--- a/mintmast/decisions/gateways/publisher.py
+++ b/mintmast/decisions/gateways/publisher.py
@@ -49,10 +49,10 @@
         if start:
             return start
         if over and behind:
-            return "a later revision is known and not in force here yet"
+            return "a later revision is known that is not active here yet"
         if not over and not self.leads:
             return "this gateway is not the publisher"
-        return "numbers are used up" if number >= MOST or (over and self.highest > MOST - STEP) else ""
+        return "no number is left" if number >= MOST or (over and self.highest > MOST - STEP) else ""
 
     def numbers(self, order: Order) -> tuple[int, bytes]:
         """Return the term and the patch of the revision that an order creates."""
--- a/mintmast/decisions/gateways/pulls.py
+++ b/mintmast/decisions/gateways/pulls.py
@@ -167,9 +167,9 @@
         A gateway that lost its file and hears nobody could otherwise start a term that others have already.
         """
         if not self.over:
-            return "this gateway has just started and does not know the others' revisions yet"
+            return "this gateway has just started and does not know the revisions of the others yet"
         if head.key == (0, 0) and not self.any:
-            return "this gateway has no revision and has heard no other one"
+            return "this gateway has no revision and no other gateway has announced one"
         return ""
 
     def look(self, now: int, behind: bool) -> None:
--- a/mintmast/decisions/gateways/revisions.py
+++ b/mintmast/decisions/gateways/revisions.py
@@ -110,7 +110,7 @@
                 self._due = 0
                 self._tick(now)
         elif len(self.publisher.orders) >= MOST_ORDERS:
-            self._ordered(event.order, "too many orders wait")
+            self._ordered(event.order, "too many orders are waiting")
         else:
             self.publisher.orders.append(event)
         self._go_on(now)
@@ -166,7 +166,7 @@
         if key <= own:
             self._senders.drop(event.peer)
             if key == own and event.mark != self.head.mark:
-                about = f"{event.term}.{event.number} of {event.peer} has mark {event.mark:08x}"
+                about = f"{event.peer} has digest {event.mark:08x} for revision {event.term}.{event.number}"
                 self._forked(about, event.mark)
             return
         self.publisher.heard(event.term)
@@ -203,7 +203,7 @@
         if keeping is not None and 0 < keeping.leads <= term:
             keeping.leads, lost = 0, True
         if lost:
-            self._say("publisher_no_more", f"term {term} is numbered elsewhere")
+            self._say("publisher_no_more", f"another gateway publishes in term {term}")
 
     def _say(self, what: str, about: str, once: str = "") -> bool:
         """Log an event once for each `once`; return whether it was logged now."""
@@ -259,7 +259,7 @@
             self._bad(now, pull, "bad reply")
         elif reply.head.key <= self.head.key:
             if reply.head.key == self.head.key and reply.head.digest != self.head.digest:
-                self._forked(f"{reply.head} of {pull.source}", reply.head.mark)
+                self._forked(f"{pull.source} has revision {reply.head}", reply.head.mark)
             if isinstance(pull.source, str) and reply.head.key <= pull.since.key:
                 self._fail(now, pull)  # it announced a newer head and does not have it
         elif self._keeping is not None or pull.since != self.head:
@@ -268,7 +268,7 @@
             self.publisher.heard(reply.head.term)
             self._resign(reply.head.term)
             if reply.fork:
-                self._forked(f"{self.head} is another one at {pull.source}", 0)
+                self._forked(f"{pull.source} has another document for revision {self.head}", 0)
             if reply.deltas:
                 self._deltas(now, pull, reply)
             elif reply.size and reply.page:
@@ -278,7 +278,7 @@
 
     def _bad(self, now: int, pull: Pull, why: str) -> None:
         self.dropped[why] += 1
-        self._say("bad_reply", f"{why} of {pull.source}")
+        self._say("bad_reply", f"{why} from {pull.source}")
         self._fail(now, pull)
 
     def _deltas(self, now: int, pull: Pull, reply: Reply) -> None:
@@ -314,7 +314,7 @@
 
     def _refuse(self, now: int, head: Head, why: str) -> None:
         """Keep the active revision, and request a whole document, which may be valid, after a while."""
-        self.refused, self.fault, self._whole = head, why[:300] or "it does not check", True
+        self.refused, self.fault, self._whole = head, why[:300] or "the revision is not valid", True
         self.dropped["refused"] += 1
         self._senders.refused(now)
         self._say("refused", f"{head}: {self.fault}")
@@ -342,11 +342,11 @@
             # it may be on disk, so its number must never be used for another change
             self.publisher.heard(kept.head.term)
             self.publisher.leads = 0
-            self._say("publisher_no_more", f"{kept.head} could not be written")
-            self._ordered(kept.order, "it could not be written; take over anew")
+            self._say("publisher_no_more", f"revision {kept.head} could not be written")
+            self._ordered(kept.order, "the revision could not be written; take over again")
             return
         if not event.good:
-            self._say("not_kept", "a restart begins from an older revision until others are heard")
+            self._say("not_kept", "the file was not written; a restart begins with an older revision")
         self._in_force(now, kept)
 
     def _in_force(self, now: int, kept: Keeping) -> None:
--- a/mintmast/decisions/gateways/standing.py
+++ b/mintmast/decisions/gateways/standing.py
@@ -82,21 +82,21 @@
 
 
 CONCLUSIONS: dict[Proof, Conclusion] = {
-    Proof.HEARD: Conclusion(True, True, True, True, True, False, "it says so itself"),
+    Proof.HEARD: Conclusion(True, True, True, True, True, False, "it announces itself"),
     Proof.SILENT: Conclusion(
-        False, True, True, True, True, False, "a lost message or a pause is likelier than an end"
+        False, True, True, True, True, False, "a lost message or a pause is likelier than its end"
     ),
     Proof.CONFIRMED: Conclusion(
-        False, True, True, True, False, False, "a cut path looks the same from here; beyond it it serves"
+        False, True, True, True, False, False, "behind a broken path, which looks the same, it serves"
     ),
     Proof.NEVER_HEARD: Conclusion(
-        False, True, True, True, False, False, "this gateway is the new one and knows nothing"
+        False, True, True, True, False, False, "this gateway has just started and knows nothing about it"
     ),
     Proof.LEFT: Conclusion(
-        False, False, True, False, False, False, "it takes nothing new; what it holds plays to its end"
+        False, False, True, False, False, False, "it accepts no new work; its sessions play to their end"
     ),
     Proof.REFUSED: Conclusion(
-        False, False, False, False, False, True, "the machine runs and has no such process"
+        False, False, False, False, False, True, "its machine runs, and no process listens there"
     ),
     Proof.LATER_START: Conclusion(
         False,
@@ -105,7 +105,7 @@
         False,
         False,
         True,
-        "one address has one process; the new one has no memory of it",
+        "an address has one process; the new one knows nothing of the old",
     ),
     Proof.ORDER: Conclusion(
         False,
@@ -114,7 +114,7 @@
         False,
         False,
         True,
-        "who gives the order answers for it: were it alive, it might charge twice",
+        "the operator is responsible: if it were alive, viewers might be charged twice",
     ),
 }
 
--- a/mintmast/peers/roster.py
+++ b/mintmast/peers/roster.py
@@ -46,7 +46,7 @@
     """Return host and port of HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
-        raise ValueError(f"{text[:100]!r} is not HOST:PORT")
+        raise ValueError(f"address {text[:100]!r} is not HOST:PORT")
     return host, int(port)
 
 
