--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -158,7 +158,7 @@
 
 
 def test_every_state_of_two_observers_and_a_subject():
-    walk(0)  # with an observer's restart; incarnations and restarts together take too long here
+    walk(0)  # with an observer's restart; incarnations and restarts together are run manually
     seen = walk(forgets=0)
     print(f"{len(seen)} states")
     assert {known.state for _, held, _, _ in seen for known, _ in held} == set(State) - {State.LEFT}
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -49,7 +49,7 @@
     monkeypatch.setattr(pulls, "REFUSED_OFF", 0)
 
 
-# larger ones take too long here: see docs/design/configuration.md
+# larger ones are run manually: see docs/design/configuration.md
 WALKS = [(1, 0, 1, 3000), (1, 1, 0, 3000), (2, 1, 1, 3000)]
 
 
