--- a/mintmast/decisions/gateways/pulls.py
+++ b/mintmast/decisions/gateways/pulls.py
@@ -20,7 +20,7 @@
 REFUSED_OFF, LONGEST_REFUSED = 4 * SECOND, 16 * SECOND
 # µs to wait for the deltas of a newer revision after a message that announced it, before they are requested:
 # its sender learns from the answer that they are missing, and sends them within a round trip and a turn of
-# its loop
+# a busy loop
 BRING_TIME = 150 * MS
 # how many senders of newer revisions are remembered, and for how many µs: each of them announces it again
 # anyway
