--- a/mintmast/decisions/gateways/words.py
+++ b/mintmast/decisions/gateways/gossip_messages.py
@@ -7,41 +7,41 @@
 
 import msgspec
 
-from mintmast.decisions.gateways.revising import Delta
-from mintmast.decisions.gateways.standing import Standing, State
+from mintmast.decisions.gateways.member_status import MemberState, MemberStatus
+from mintmast.decisions.gateways.revision_types import Delta
 
 # updates in one message: with names of 64 bytes it fits a datagram of 1,200 bytes, which every path carries
-MOST_NEWS = 11
+MAX_UPDATES = 11
 # how far messages of one sender may be reordered; older ones are dropped
-REORDERED = 64
+REPLAY_WINDOW = 64
 
 
-class Kind(IntEnum):
+class GossipKind(IntEnum):
     """Purpose of a message, as in SWIM."""
 
     PING = 0  # to be answered by an ACK with the same probe number
     ACK = 1
-    ASK = 2  # asks the receiver to ping `subject`; answered by an ACK or a NACK
+    PING_REQUEST = 2  # asks the receiver to ping `subject`; answered by an ACK or a NACK
     NACK = 3  # the requested indirect ping has had no answer so far
     LEAVE = 4  # the sender is shutting down
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A member's status as `observer` reports it, needed for suspicions; `address` as in `GossipMessage`."""
 
     name: str
-    start: int
+    generation: int
     incarnation: int
     state: int
-    by: str = ""
-    place: str = ""
+    observer: str = ""
+    address: str = ""
 
-    def standing(self) -> Standing:
+    def status(self) -> MemberStatus:
         """Return it as a status for merging. Raises ValueError for an unknown state."""
-        return Standing(self.start, self.incarnation, State(self.state))
+        return MemberStatus(self.generation, self.incarnation, MemberState(self.state))
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class GossipMessage(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One datagram. `sequence` counts the messages of the sender's generation.
 
     `address` is HOST:PORT of this generation of the sender, "" for the address in the settings. `subject` is
@@ -52,17 +52,17 @@
 
     kind: int
     sender: str
-    start: int
+    generation: int
     incarnation: int
-    seq: int
-    number: int
-    about: str = ""
-    gap: int = -1
-    news: tuple[News, ...] = ()
-    place: str = ""
+    sequence: int
+    probe_number: int
+    subject: str = ""
+    heard_ms_ago: int = -1
+    updates: tuple[MemberUpdate, ...] = ()
+    address: str = ""
 
 
-class HeadedWord(Word, frozen=True, array_like=True, gc=False):
+class GossipWithRevision(GossipMessage, frozen=True, array_like=True, gc=False):
     """A message that announces its sender's active revision: term, number and digest prefix of `RevisionId`.
 
     Only gateways with a `configuration` section send it. A message without these fields decodes with term -1,
@@ -70,22 +70,22 @@
     """
 
     term: int = -1
-    revision: int = 0
-    mark: int = 0
+    revision_number: int = 0
+    digest_prefix: int = 0
 
     @property
-    def head(self) -> tuple[int, int, int] | None:
+    def revision_summary(self) -> tuple[int, int, int] | None:
         """Return term, number and digest prefix of the announced revision, None without one."""
-        return None if self.term == -1 else (self.term, self.revision, self.mark)
+        return None if self.term == -1 else (self.term, self.revision_number, self.digest_prefix)
 
 
-class BringingWord(HeadedWord, frozen=True, array_like=True, gc=False):
+class GossipWithDeltas(GossipWithRevision, frozen=True, array_like=True, gc=False):
     """A message that carries the revisions its receiver lacks, starting after the receiver's head."""
 
     deltas: tuple[Delta, ...] = ()
 
 
-class TabledWord(BringingWord, frozen=True, array_like=True, gc=False):
+class GossipWithDigest(GossipWithDeltas, frozen=True, array_like=True, gc=False):
     """The type that gateways send: all of the above, and an anti-entropy digest of the membership.
 
     `membership_digest` is the exclusive or of `hash_status` over all members, the sender included. Gateways
@@ -93,46 +93,46 @@
     send updates all the time, and decode this message as one of theirs.
     """
 
-    table: int = -1
+    membership_digest: int = -1
 
 
-def mark_of(name: str, standing: Standing) -> int:
+def hash_status(name: str, status: MemberStatus) -> int:
     """Return a 32-bit hash of a member's status; 0 for a member without a known generation."""
-    if not standing.start:
+    if not status.generation:
         return 0
-    told = f"{name} {standing.start} {standing.incarnation} {int(standing.state)}".encode()
-    return int.from_bytes(hashlib.blake2b(told, digest_size=4).digest(), "big")
+    data = f"{name} {status.generation} {status.incarnation} {int(status.state)}".encode()
+    return int.from_bytes(hashlib.blake2b(data, digest_size=4).digest(), "big")
 
 
-def head_of(word: Word | None) -> tuple[int, int, int] | None:
+def revision_summary_of(message: GossipMessage | None) -> tuple[int, int, int] | None:
     """Return the summary of the revision that a message announces, None without one."""
-    return word.head if isinstance(word, HeadedWord) else None
+    return message.revision_summary if isinstance(message, GossipWithRevision) else None
 
 
-class Window:
+class ReplayWindow:
     """Sliding window over one sender's sequence numbers: the highest, and one bit for each of those below it.
 
     It prevents a recorded datagram that is sent again from making a dead gateway look alive.
     """
 
-    __slots__ = ("bits", "high", "start")
+    __slots__ = ("bits", "highest", "generation")
 
     def __init__(self) -> None:
-        self.start = self.high = self.bits = 0
+        self.generation = self.highest = self.bits = 0
 
-    def take(self, start: int, seq: int) -> bool:
+    def accept(self, generation: int, sequence: int) -> bool:
         """Record a message; return False for a duplicate or too old one. A later generation resets it."""
-        if start < self.start or seq <= 0:
+        if generation < self.generation or sequence <= 0:
             return False
-        if start > self.start:
-            self.start, self.high, self.bits = start, 0, 0
-        ahead = seq - self.high
+        if generation > self.generation:
+            self.generation, self.highest, self.bits = generation, 0, 0
+        ahead = sequence - self.highest
         if ahead > 0:
-            self.bits = (self.bits << min(ahead, REORDERED) | 1) & ((1 << REORDERED) - 1)
-            self.high = seq
+            self.bits = (self.bits << min(ahead, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            self.highest = sequence
             return True
         bit = 1 << -ahead
-        if -ahead >= REORDERED or self.bits & bit:
+        if -ahead >= REPLAY_WINDOW or self.bits & bit:
             return False
         self.bits |= bit
         return True
--- a/mintmast/decisions/gateways/standing.py
+++ b/mintmast/decisions/gateways/member_status.py
@@ -16,7 +16,7 @@
 from enum import Enum, IntEnum
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """State of a member. More severe states have higher numbers."""
 
     ALIVE = 0  # only the gateway itself announces this
@@ -27,35 +27,37 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Standing:
+class MemberStatus:
     """A gateway's status as reported. `generation` identifies its process, 0 where none is known yet."""
 
-    start: int = 0
+    generation: int = 0
     incarnation: int = 0
-    state: State = State.UNREACHABLE
+    state: MemberState = MemberState.UNREACHABLE
 
 
-def merge(one: Standing, other: Standing) -> Standing:
+def merge_status(first: MemberStatus, second: MemberStatus) -> MemberStatus:
     """Return the report that takes precedence, whatever order the two arrived in."""
-    return max(one, other)
+    return max(first, second)
 
 
-def refuted(own: Standing, told: Standing) -> Standing:
+def refute(own: MemberStatus, claimed: MemberStatus) -> MemberStatus:
     """Return a gateway's own status after a report about it: alive, above what it must refute."""
-    if told.start != own.start or told <= own:
+    if claimed.generation != own.generation or claimed <= own:
         return own
-    return Standing(own.start, told.incarnation + (told.state is not State.ALIVE), State.ALIVE)
+    return MemberStatus(
+        own.generation, claimed.incarnation + (claimed.state is not MemberState.ALIVE), MemberState.ALIVE
+    )
 
 
-def refused(held: Standing, start: int) -> Standing:
+def apply_refusal(known: MemberStatus, generation: int) -> MemberStatus:
     """Mark a member dead if its machine refused a connection while `generation` was the last one known there.
 
     The generation is checked because a refusal may arrive late, when the next process already answers.
     """
-    return replace(held, state=State.DEAD) if start == held.start else held
+    return replace(known, state=MemberState.DEAD) if generation == known.generation else known
 
 
-class Proof(Enum):
+class Liveness(Enum):
     """What a gateway believes about a member, named by the evidence for it."""
 
     HEARD = "it answers"
@@ -69,36 +71,38 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Conclusion:
+class MemberPolicy:
     """What other gateways may assume about a member. Each field errs on its safe side."""
 
-    asked_first: bool  # claims and requests go to it before others
+    is_preferred: bool  # claims and requests go to it before others
     may_vote: bool  # a vote of it may still arrive
-    may_own: bool  # keys that it owned may be in use, so nobody else gets them
-    may_spend: bool  # it counts when budgets and the slow-start rate are shared out
-    relied_on: bool  # it counts among those that carry load
-    gone: bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
+    may_own_keys: bool  # keys that it owned may be in use, so nobody else gets them
+    may_spend_budget: bool  # it counts when budgets and the slow-start rate are shared out
+    counts_as_capacity: bool  # it counts among those that carry load
+    process_ended: (
+        bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
+    )
     reason: str
 
 
-CONCLUSIONS: dict[Proof, Conclusion] = {
-    Proof.HEARD: Conclusion(True, True, True, True, True, False, "it announces itself"),
-    Proof.SILENT: Conclusion(
+MEMBER_POLICIES: dict[Liveness, MemberPolicy] = {
+    Liveness.HEARD: MemberPolicy(True, True, True, True, True, False, "it announces itself"),
+    Liveness.SILENT: MemberPolicy(
         False, True, True, True, True, False, "a lost message or a pause is likelier than its end"
     ),
-    Proof.CONFIRMED: Conclusion(
+    Liveness.CONFIRMED: MemberPolicy(
         False, True, True, True, False, False, "behind a broken path, which looks the same, it serves"
     ),
-    Proof.NEVER_HEARD: Conclusion(
+    Liveness.NEVER_HEARD: MemberPolicy(
         False, True, True, True, False, False, "this gateway has just started and knows nothing about it"
     ),
-    Proof.LEFT: Conclusion(
+    Liveness.LEFT: MemberPolicy(
         False, False, True, False, False, False, "it accepts no new work; its sessions play to their end"
     ),
-    Proof.REFUSED: Conclusion(
+    Liveness.REFUSED: MemberPolicy(
         False, False, False, False, False, True, "its machine runs, and no process listens there"
     ),
-    Proof.LATER_START: Conclusion(
+    Liveness.LATER_START: MemberPolicy(
         False,
         False,
         False,
@@ -107,7 +111,7 @@
         True,
         "an address has one process; the new one knows nothing of the old",
     ),
-    Proof.ORDER: Conclusion(
+    Liveness.ORDER: MemberPolicy(
         False,
         False,
         False,
@@ -119,11 +123,13 @@
 }
 
 
-def live_counts(proofs: list[Proof]) -> tuple[int, int]:
+def count_live(liveness: list[Liveness]) -> tuple[int, int]:
     """Count the gateways, this one included, that may spend shared budgets and those that carry load.
 
     The two counts differ because a network partition halves the second one on both sides. If budgets were
     divided by it, both halves together would spend twice the budget.
     """
-    told = [CONCLUSIONS[proof] for proof in proofs]
-    return 1 + sum(each.may_spend for each in told), 1 + sum(each.relied_on for each in told)
+    policies = [MEMBER_POLICIES[proof] for proof in liveness]
+    return 1 + sum(each.may_spend_budget for each in policies), 1 + sum(
+        each.counts_as_capacity for each in policies
+    )
--- a/mintmast/decisions/gateways/rumours.py
+++ b/mintmast/decisions/gateways/revision_gossip.py
@@ -13,52 +13,55 @@
 
 from collections.abc import Callable
 
-from mintmast.decisions.gateways.revising import Delta
+from mintmast.decisions.gateways.revision_types import Delta
 
-Told = tuple[int, int, int]  # term, number and digest prefix of a `RevisionId`
+RevisionSummary = tuple[int, int, int]  # term, number and digest prefix of a `RevisionId`
 
 # probes that announce a revision after it changed: three doublings of the gateways that know it, within a
 # second while probes go fast; and µs after which any probe announces it, which is all there is while they go
 # slowly
-FRESH, AGAIN_TOLD = 6, 450_000
+ANNOUNCEMENTS, REANNOUNCE_US = 6, 450_000
 # µs before the same deltas are sent to a gateway again: they were lost, or rejected there, and in that case
 # sending them with each message would be too much
-AGAIN = 1_000_000
+RESEND_US = 1_000_000
 # bytes of deltas in one message, patches and ids: what fits into a datagram of 1,200 beside names of 64 bytes
-ROOM = 700
+MAX_DELTA_BYTES = 700
 
 
-class Rumour:
+class RevisionGossip:
     """Revision gossip of one gateway. `deltas_after` returns those after a revision, up to a size."""
 
-    def __init__(self, after: Callable[[Told, int], tuple[Delta, ...]]) -> None:
-        self.head: Told | None = None
-        self._after = after
-        self._fresh = self._next = 0
-        self._brought: dict[str, int] = {}  # when deltas were sent to a gateway since the last change
+    def __init__(self, deltas_after: Callable[[RevisionSummary, int], tuple[Delta, ...]]) -> None:
+        self.head: RevisionSummary | None = None
+        self._deltas_after = deltas_after
+        self._announcements_left = self._next_announcement_at = 0
+        self._sent_at: dict[str, int] = {}  # when deltas were sent to a gateway since the last change
 
-    def changed(self, head: Told) -> None:
+    def set_head(self, head: RevisionSummary) -> None:
         """Set the active revision."""
         if head != self.head:
-            self.head, self._fresh = head, FRESH
-            self._brought.clear()
+            self.head, self._announcements_left = head, ANNOUNCEMENTS
+            self._sent_at.clear()
 
-    def first(self, now: int) -> bool:
+    def should_announce(self, now: int) -> bool:
         """Return whether a probe sent now announces the active revision, and count it if so."""
-        if not self._fresh and now < self._next:
+        if not self._announcements_left and now < self._next_announcement_at:
             return False
-        self._fresh, self._next = max(0, self._fresh - 1), now + AGAIN_TOLD
+        self._announcements_left, self._next_announcement_at = (
+            max(0, self._announcements_left - 1),
+            now + REANNOUNCE_US,
+        )
         return True
 
-    def owes(self, now: int, to: str, told: Told | None) -> bool:
+    def should_send_deltas(self, now: int, to: str, summary: RevisionSummary | None) -> bool:
         """Return whether a gateway is behind and was not sent the deltas recently."""
-        if told is None or self.head is None or told[:2] >= self.head[:2]:
+        if summary is None or self.head is None or summary[:2] >= self.head[:2]:
             return False
-        return now - self._brought.get(to, now - AGAIN) >= AGAIN
+        return now - self._sent_at.get(to, now - RESEND_US) >= RESEND_US
 
-    def bring(self, now: int, to: str, told: Told) -> tuple[Delta, ...]:
+    def deltas_for(self, now: int, to: str, summary: RevisionSummary) -> tuple[Delta, ...]:
         """Return the deltas that a gateway with this revision lacks, as far as they fit into a message."""
-        if not self.owes(now, to, told):
+        if not self.should_send_deltas(now, to, summary):
             return ()
-        self._brought[to] = now
-        return self._after(told, ROOM)
+        self._sent_at[to] = now
+        return self._deltas_after(summary, MAX_DELTA_BYTES)
--- a/mintmast/decisions/gateways/revising.py
+++ b/mintmast/decisions/gateways/revision_types.py
@@ -15,17 +15,17 @@
 
 # highest term and number that are accepted; a sender with a higher one is faulty. 11,000 changes a day reach
 # it in a hundred million years, and one term a second in a hundred thousand
-MOST = (1 << 42) - 1
+MAX_NUMBER = (1 << 42) - 1
 # the patch that changes nothing: used by a take-over, and to validate a whole document
-NOTHING = b"{}"
+EMPTY_PATCH = b"{}"
 
 # (document, patch) -> (patched document, "") or (None, reason). Pure: the same input gives the same output at
 # every gateway of one program version. The whole document after the patch is validated, so that with
 # `EMPTY_PATCH` a valid canonical document is returned unchanged, byte by byte.
-Check = Callable[[bytes, bytes], tuple[bytes | None, str]]
+PatchValidator = Callable[[bytes, bytes], tuple[bytes | None, str]]
 
 # where a request goes: a gateway of the region by its name, or an index into `configuration.abroad`
-Source = str | int
+PullSource = str | int
 
 
 def digest_of(document: bytes) -> str:
@@ -33,7 +33,7 @@
     return hashlib.blake2b(document, digest_size=8).hexdigest()
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class RevisionId(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """Identifies a revision, ordered by (term, number); (0, 0) is the settings file before any revision."""
 
     term: int = 0
@@ -46,15 +46,15 @@
         return self.term, self.number
 
     @property
-    def mark(self) -> int:
+    def digest_prefix(self) -> int:
         """Return the first four bytes of the digest, as membership messages carry them."""
         return int(self.digest[:8] or "0", 16)
 
     @property
-    def good(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether the fields are within their limits."""
         digits = len(self.digest) == 16 and set(self.digest) <= set("0123456789abcdef")
-        return digits and 0 <= self.term <= MOST and 0 <= self.number <= MOST
+        return digits and 0 <= self.term <= MAX_NUMBER and 0 <= self.number <= MAX_NUMBER
 
     def __str__(self) -> str:
         """Return the form shown to operators."""
@@ -64,7 +64,7 @@
 class Delta(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A revision and its patch, which applies to the document of the revision before it."""
 
-    head: Head
+    revision: RevisionId
     patch: bytes
 
 
@@ -75,17 +75,17 @@
     first of them after `base`; both may be left out (the history then starts at `head`).
     """
 
-    head: Head
+    head: RevisionId
     document: bytes
     leads: int = 0
-    base: Head = Head()
+    base: RevisionId = RevisionId()
     history: tuple[Delta, ...] = ()
 
 
 # Messages between gateways
 
 
-class Question(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
+class RevisionRequest(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
     """Requests the revisions after one, or with `of` the page at `offset` of the document of that digest.
 
     `whole` requests the whole document even if deltas would do, because they were not valid here.
@@ -99,14 +99,14 @@
     whole: bool = False
 
 
-class Reply(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
+class RevisionReply(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
     """The reply of another gateway: its head with deltas in order, or with a page of its document, or alone.
 
     `size` is the length of the whole document if `page` is a part of it at `offset`. `fork` says that the
     requester's head has another digest here.
     """
 
-    head: Head
+    head: RevisionId
     deltas: tuple[Delta, ...] = ()
     page: bytes = b""
     offset: int = 0
@@ -117,7 +117,7 @@
 # Events
 
 
-class HeadHeard(msgspec.Struct, frozen=True, gc=False):
+class RevisionAnnounced(msgspec.Struct, frozen=True, gc=False):
     """From membership: a gateway of the region announced this revision; `digest_prefix` as in `RevisionId`.
 
     `deltas` are revisions that this gateway lacks, as far as the message had room. `wants_answer` says that
@@ -127,16 +127,16 @@
     peer: str
     term: int
     number: int
-    mark: int
+    digest_prefix: int
     deltas: tuple[Delta, ...] = ()
-    asked: bool = False
+    wants_answer: bool = False
 
 
-class Pulled(msgspec.Struct, frozen=True, gc=False):
+class PullSucceeded(msgspec.Struct, frozen=True, gc=False):
     """From a transport: the reply to `PullRevisions` number `call`."""
 
     call: int
-    reply: Reply
+    reply: RevisionReply
 
 
 class PullFailed(msgspec.Struct, frozen=True, gc=False):
@@ -158,35 +158,35 @@
     order: int
 
 
-class Kept(msgspec.Struct, frozen=True, gc=False):
+class WriteFinished(msgspec.Struct, frozen=True, gc=False):
     """From the file: the write `number` is durable, or (if not `is_durable`) may or may not be on disk."""
 
     number: int
-    good: bool = True
+    is_durable: bool = True
 
 
-class Tick(msgspec.Struct, frozen=True, gc=False):
+class TimerFired(msgspec.Struct, frozen=True, gc=False):
     """A timer has fired; `scheduled_at` is when it was due (µs)."""
 
-    due: int
+    scheduled_at: int
 
 
-Event = HeadHeard | Pulled | PullFailed | Publish | TakeOver | Kept | Tick
+Event = RevisionAnnounced | PullSucceeded | PullFailed | Publish | TakeOver | WriteFinished | TimerFired
 
 
 # Commands
 
 
-class AskRevisions(msgspec.Struct, frozen=True, gc=False):
+class PullRevisions(msgspec.Struct, frozen=True, gc=False):
     """To a transport: send a request; `PullSucceeded` or `PullFailed` answers `call` by `deadline` (µs)."""
 
     call: int
-    source: Source
-    question: Question
-    until: int
+    source: PullSource
+    request: RevisionRequest
+    deadline: int
 
 
-class Keep(msgspec.Struct, frozen=True, gc=False):
+class WriteRevision(msgspec.Struct, frozen=True, gc=False):
     """To the file: write a revision durably; `WriteFinished` answers `number`, after `handle` has returned.
 
     One write is pending at a time; on a disk that hangs it ends as not durable within seconds. `deltas` lead
@@ -195,39 +195,39 @@
     """
 
     number: int
-    head: Head
+    head: RevisionId
     document: bytes
     deltas: tuple[Delta, ...] = ()
-    leads: int = 0
+    publisher_term: int = 0
 
 
-class InForce(msgspec.Struct, frozen=True, gc=False):
+class ActiveRevision(msgspec.Struct, frozen=True, gc=False):
     """Activate this validated document; `head` is announced in membership messages."""
 
-    head: Head
+    head: RevisionId
     document: bytes
 
 
-class Ordered(msgspec.Struct, frozen=True, gc=False):
+class OrderAnswered(msgspec.Struct, frozen=True, gc=False):
     """The answer to an operator: `head` is the new revision's if `is_accepted`, else the active one's."""
 
     order: int
-    good: bool
+    is_accepted: bool
     reason: str
-    head: Head
+    head: RevisionId
 
 
-class Say(msgspec.Struct, frozen=True, gc=False):
+class LogEvent(msgspec.Struct, frozen=True, gc=False):
     """A log line for operators, written once for each cause and not for each repetition."""
 
     what: str
     about: str = ""
 
 
-class Wake(msgspec.Struct, frozen=True, gc=False):
+class ScheduleTimer(msgspec.Struct, frozen=True, gc=False):
     """Send a `TimerFired` at this time (µs); an earlier timer may still fire and is then ignored."""
 
     at: int
 
 
-Command = AskRevisions | Keep | InForce | Ordered | Say | Wake
+Command = PullRevisions | WriteRevision | ActiveRevision | OrderAnswered | LogEvent | ScheduleTimer
