--- a/mintmast/decisions/gateways/history.py
+++ b/mintmast/decisions/gateways/history.py
@@ -53,15 +53,15 @@
         if len(self.deltas) <= MAX_HISTORY_REVISIONS and self.patch_bytes <= MAX_HISTORY_BYTES:
             return
         # removes an eighth more than needed, so that not every revision causes a removal
-        cut = 0
+        removed = 0
         while (
-            len(self.deltas) - cut > MAX_HISTORY_REVISIONS * 7 // 8
+            len(self.deltas) - removed > MAX_HISTORY_REVISIONS * 7 // 8
             or self.patch_bytes > MAX_HISTORY_BYTES * 7 // 8
         ):
-            self.patch_bytes -= len(self.deltas[cut].patch)
-            cut += 1
-        self.base = self.deltas[cut - 1].revision
-        del self.deltas[:cut], self._keys[:cut]
+            self.patch_bytes -= len(self.deltas[removed].patch)
+            removed += 1
+        self.base = self.deltas[removed - 1].revision
+        del self.deltas[:removed], self._keys[:removed]
 
     def answer(self, head: RevisionId, document: bytes, request: RevisionRequest) -> RevisionReply | None:
         """Return the reply to a request at this head; None if the request is invalid.
@@ -71,12 +71,12 @@
         since = RevisionId(request.term, request.number, request.digest)
         if not since.is_valid or not 0 <= request.offset <= MAX_DOCUMENT_BYTES or len(request.of) > 16:
             return None
-        at, fork = self._find(since)
+        index, fork = self._find(since)
         if since.key >= head.key:
             return RevisionReply(head, fork=fork)
-        if at is not None and not request.whole and self._deltas_suffice(at, len(document)):
+        if index is not None and not request.whole and self._deltas_suffice(index, len(document)):
             deltas, size = [], 0
-            for delta in self.deltas[at : at + MAX_REPLY_DELTAS]:
+            for delta in self.deltas[index : index + MAX_REPLY_DELTAS]:
                 size += len(delta.patch)
                 if deltas and size > MAX_REPLY_BYTES:
                     break
@@ -94,38 +94,40 @@
         found = self._position_of(summary[:2])
         if found is None or found[1].digest_prefix != summary[2]:
             return ()
-        at, given, size = found[0], [], 0
-        for delta in self.deltas[at : at + MAX_REPLY_DELTAS]:
+        index, chosen, size = found[0], [], 0
+        for delta in self.deltas[index : index + MAX_REPLY_DELTAS]:
             size += len(delta.patch) + REVISION_ID_BYTES
             if size > max_bytes:
                 break
-            given.append(delta)
-        return tuple(given)
+            chosen.append(delta)
+        return tuple(chosen)
 
-    def _deltas_suffice(self, at: int, size: int) -> bool:
+    def _deltas_suffice(self, index: int, document_size: int) -> bool:
         """Return whether the deltas fit into one reply or are smaller than a document of this size."""
-        left = self.deltas[at:]
-        return len(left) <= MAX_REPLY_DELTAS or sum(len(each.patch) for each in left) <= size
+        remaining = self.deltas[index:]
+        return (
+            len(remaining) <= MAX_REPLY_DELTAS or sum(len(each.patch) for each in remaining) <= document_size
+        )
 
     def _find(self, since: RevisionId) -> tuple[int | None, bool]:
         """Return the index of the first delta after a head, and if its number has another digest here."""
         found = self._position_of(since.key)
         if found is None:
             return None, False
-        at, head = found
-        return (at, False) if head.digest == since.digest else (None, True)
+        index, head = found
+        return (index, False) if head.digest == since.digest else (None, True)
 
     def _position_of(self, key: tuple[int, int]) -> tuple[int, RevisionId] | None:
         """Return the index of the first delta after this key and the revision of the key; None if unknown."""
         if key == self.base.key:
             return 0, self.base
-        at = bisect_left(self._keys, key)
-        if at == len(self._keys) or self._keys[at] != key:
+        index = bisect_left(self._keys, key)
+        if index == len(self._keys) or self._keys[index] != key:
             return None
-        return at + 1, self.deltas[at].revision
+        return index + 1, self.deltas[index].revision
 
 
-def validate_patch(check: PatchValidator, document: bytes, patch: bytes) -> tuple[bytes | None, str]:
+def validate_patch(validate: PatchValidator, document: bytes, patch: bytes) -> tuple[bytes | None, str]:
     """Validate a patch on a document; return the patched document, or None and the reason.
 
     Exceptions are caught because a validator that raises on one odd input would crash all gateways at once.
@@ -133,16 +135,16 @@
     if len(patch) > MAX_PATCH_BYTES:
         return None, f"the patch is larger than {MAX_PATCH_BYTES} bytes"
     try:
-        after, why = check(document, patch)
+        patched, reason = validate(document, patch)
     except (ValueError, TypeError, LookupError, ArithmeticError, RecursionError) as error:
         return None, f"validation raised an error: {error}"[:300]
-    if after is not None and len(after) > MAX_DOCUMENT_BYTES:
+    if patched is not None and len(patched) > MAX_DOCUMENT_BYTES:
         return None, f"the document would be larger than {MAX_DOCUMENT_BYTES} bytes"
-    return after, why
+    return patched, reason
 
 
 def apply_deltas(
-    check: PatchValidator, head: RevisionId, document: bytes, reply: RevisionReply
+    validate: PatchValidator, head: RevisionId, document: bytes, reply: RevisionReply
 ) -> tuple[RevisionId, bytes, tuple[Delta, ...], str, str]:
     """Apply the deltas of a reply in order, up to the first invalid one.
 
@@ -153,11 +155,11 @@
     for delta in reply.deltas[:MAX_REPLY_DELTAS]:
         if not delta.revision.is_valid or not head.key < delta.revision.key <= reply.head.key:
             return head, document, tuple(applied), "bad reply", ""
-        after, why = validate_patch(check, document, delta.patch)
-        if after is None:
-            return head, document, tuple(applied), "refused", why
-        if digest_of(after) != delta.revision.digest:
+        patched, reason = validate_patch(validate, document, delta.patch)
+        if patched is None:
+            return head, document, tuple(applied), "refused", reason
+        if digest_of(patched) != delta.revision.digest:
             return head, document, tuple(applied), "bad digest", ""
-        head, document = delta.revision, after
+        head, document = delta.revision, patched
         applied.append(delta)
     return head, document, tuple(applied), "", ""
--- a/mintmast/decisions/gateways/members.py
+++ b/mintmast/decisions/gateways/members.py
@@ -132,14 +132,12 @@
         self.dropped = dict.fromkeys(("foreign", "old", "doubled", "bad state"), 0)
         self.messages_sent = 0
         self.revision_gossip: RevisionGossip | None = None  # None if the configuration is not shared
-        self._heard_since_pause: set[str] | None = (
-            set()
-        )  # members heard since a pause; None when there were enough
-        self._periods_since_pause = 0  # periods since the pause
+        # members heard since a pause; None when there were enough
+        self._heard_since_pause: set[str] | None = set()
+        self._periods_since_pause = 0
         self._probe: _Probe | None = None
-        self._relayed_probes: dict[
-            int, tuple[str, int, int]
-        ] = {}  # own probe number: requester, its number, time
+        # own probe number: requester, its probe number, time
+        self._relayed_probes: dict[int, tuple[str, int, int]] = {}
         self._probe_number = 0
         self._probe_order: list[str] = []
         self._probe_next: deque[str] = deque(maxlen=64)  # suspected by others, to be probed out of turn
@@ -187,8 +185,8 @@
     def leave(self, now: int) -> list[Command]:
         """Announce the shutdown of this gateway."""
         self.own_status = replace(self.own_status, state=MemberState.LEFT)
-        there = [each.name for each in self.others.values() if each.liveness is Liveness.HEARD]
-        for name in self._random.sample(there, min(len(there), 2 * INDIRECT_PROBES)):
+        present = [each.name for each in self.others.values() if each.liveness is Liveness.HEARD]
+        for name in self._random.sample(present, min(len(present), 2 * INDIRECT_PROBES)):
             self._send(now, name, GossipKind.LEAVE)
         return self._take_commands()
 
@@ -203,8 +201,8 @@
         return self._take_commands()
 
     def _take_commands(self) -> list[Command]:
-        out, self._commands = self._commands, []
-        return out
+        commands, self._commands = self._commands, []
+        return commands
 
     def _schedule_timer(self, at: int) -> None:
         self._timer_at = at
@@ -227,9 +225,11 @@
             self._confirm_suspicions(now)
             self._end_pause_recovery()
             self._start_probe(now)
-        first = self._probe is not None and not self._probe.is_indirect
-        span = (PROBE_TIMEOUT_US if first else PROBE_PERIOD_US - PROBE_TIMEOUT_US) * (1 + self.health_penalty)
-        self._schedule_timer(now + span)
+        awaits_direct_answer = self._probe is not None and not self._probe.is_indirect
+        wait = (PROBE_TIMEOUT_US if awaits_direct_answer else PROBE_PERIOD_US - PROBE_TIMEOUT_US) * (
+            1 + self.health_penalty
+        )
+        self._schedule_timer(now + wait)
 
     def _is_idle(self, now: int) -> bool:
         """Return whether there are no updates to send and no suspicions to check.
@@ -278,9 +278,8 @@
         member = self.others[probe.target]
         member.direct_answers = 0
         if probe.helpers and not probe.nacks:
-            self.health_penalty = min(
-                MAX_HEALTH_PENALTY, self.health_penalty + 1
-            )  # not even a NACK: the fault may be on this machine
+            # not even a NACK: the fault may be on this machine
+            self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         if self._heard_since_pause is not None and self._periods_since_pause < 3:
             return  # just paused or started
         heard = member.heard_at is not None and member.heard_at >= probe.sent_at
@@ -332,16 +331,16 @@
             name = self._probe_next.popleft()
             if self.others[name].status.state is MemberState.SUSPECTED:
                 return name
-        lost, never_heard = (
+        absent, never_heard = (
             self._not_present,
             self._never_heard if self._probe_number <= len(self.others) else {},
         )
-        if lost:
-            probability = 1.0 if never_heard else LOST_PROBES_PER_PERIOD * len(lost) / len(self.others)
+        if absent:
+            probability = 1.0 if never_heard else LOST_PROBES_PER_PERIOD * len(absent) / len(self.others)
             # random instead of counted: all gateways learned of the loss together and would probe it together
             probe_lost = self._random.random() < min(1 / LOST_PROBE_INTERVAL, probability)
-            if probe_lost or len(lost) == len(self.others):
-                return self._random.choice(tuple(never_heard or lost))
+            if probe_lost or len(absent) == len(self.others):
+                return self._random.choice(tuple(never_heard or absent))
         while self._probe_order:
             name = self._probe_order.pop()
             if self._is_present(self.others[name]):
@@ -417,12 +416,8 @@
         answered: GossipMessage | None = None,  # the message that this one answers
     ) -> None:
         self.messages_sent += 1
-        own, updates = (
-            self.own_status,
-            ()
-            if kind == GossipKind.ACK and not probe_number
-            else self._choose_updates(now, to, kind, probe_number),
-        )
+        own, answers_no_probe = self.own_status, kind == GossipKind.ACK and not probe_number
+        updates = () if answers_no_probe else self._choose_updates(now, to, kind, probe_number)
         fields = (
             kind,
             self.name,
@@ -546,9 +541,8 @@
             if self.revision_gossip is not None and self.revision_gossip.should_send_deltas(
                 now, member.name, summary
             ):
-                self._send(
-                    now, member.name, GossipKind.ACK, answered=message
-                )  # carries deltas, answers no probe
+                # carries deltas, answers no probe
+                self._send(now, member.name, GossipKind.ACK, answered=message)
 
     def _compare_digest(self, now: int, message: GossipMessage) -> None:
         """Compare the sender's digest with this gateway's, after the message's updates were applied.
--- a/mintmast/decisions/gateways/publisher.py
+++ b/mintmast/decisions/gateways/publisher.py
@@ -34,10 +34,10 @@
 
         A publisher with a restored file, or two that took over in a partition, would use one number twice.
         """
-        lost = 0 < self.term <= term
-        if lost:
+        was_publisher = 0 < self.term <= term
+        if was_publisher:
             self.term = 0
-        return lost
+        return was_publisher
 
     def refusal(self, order: Order, number: int, startup_refusal: str, is_behind: bool) -> str:
         """Return why an order is refused at this number of the active revision, "" if it is not.
@@ -45,16 +45,16 @@
         `startup_refusal` is the reason that holds during startup, if any. `is_behind` says that others have a
         later revision.
         """
-        over = isinstance(order, TakeOver)
+        is_take_over = isinstance(order, TakeOver)
         if startup_refusal:
             return startup_refusal
-        if over and is_behind:
+        if is_take_over and is_behind:
             return "a later revision is known that is not active here yet"
-        if not over and not self.term:
+        if not is_take_over and not self.term:
             return "this gateway is not the publisher"
         return (
             "no number is left"
-            if number >= MAX_NUMBER or (over and self.highest_term > MAX_NUMBER - TERM_STEP)
+            if number >= MAX_NUMBER or (is_take_over and self.highest_term > MAX_NUMBER - TERM_STEP)
             else ""
         )
 
--- a/mintmast/decisions/gateways/pulls.py
+++ b/mintmast/decisions/gateways/pulls.py
@@ -53,8 +53,8 @@
         if reply.offset != len(self.received) or len(self.received) + len(reply.page) > reply.size:
             return "bad reply"
         self.received += reply.page
-        whole = len(self.received) == reply.size
-        return "bad digest" if whole and digest_of(self.received) != reply.head.digest else ""
+        is_complete = len(self.received) == reply.size
+        return "bad digest" if is_complete and digest_of(self.received) != reply.head.digest else ""
 
 
 @dataclass(slots=True)
@@ -123,9 +123,9 @@
     def pull_failed(self, name: str, now: int) -> None:
         """Back off briefly, then ask another sender."""
         self.forget(name)
-        off = min(MAX_BACKOFF_US, BACKOFF_US << min(self._failures, MAX_DOUBLINGS))
+        backoff = min(MAX_BACKOFF_US, BACKOFF_US << min(self._failures, MAX_DOUBLINGS))
         self._failures += 1
-        self.backoff_until = max(self.backoff_until, now + self._random.randint(off // 2, off))
+        self.backoff_until = max(self.backoff_until, now + self._random.randint(backoff // 2, backoff))
 
     def revision_rejected(self, now: int) -> None:
         """Back off for longer, because what the senders have is not valid here."""
--- a/mintmast/decisions/gateways/revision_gossip.py
+++ b/mintmast/decisions/gateways/revision_gossip.py
@@ -47,10 +47,8 @@
         """Return whether a probe sent now announces the active revision, and count it if so."""
         if not self._announcements_left and now < self._next_announcement_at:
             return False
-        self._announcements_left, self._next_announcement_at = (
-            max(0, self._announcements_left - 1),
-            now + REANNOUNCE_US,
-        )
+        self._announcements_left = max(0, self._announcements_left - 1)
+        self._next_announcement_at = now + REANNOUNCE_US
         return True
 
     def should_send_deltas(self, now: int, to: str, summary: RevisionSummary | None) -> bool:
--- a/mintmast/decisions/gateways/revisions.py
+++ b/mintmast/decisions/gateways/revisions.py
@@ -63,10 +63,7 @@
     ) -> None:
         self.head, self.document = stored.head, stored.document
         self.publisher = Publisher(stored.leads, stored.head.term, rng)
-        self.rejected, self.rejection_reason = (
-            RevisionId(),
-            "",
-        )  # the last revision that was not valid here, and why
+        self.rejected, self.rejection_reason = RevisionId(), ""  # last revision not valid here, and why
         self.forks = 0
         kinds = ("bad head", "bad question", "bad reply", "late reply", "bad digest", "refused")
         self.dropped = dict.fromkeys(kinds, 0)
@@ -120,21 +117,21 @@
         return self._take_commands(now)
 
     def _take_commands(self, now: int) -> list[Command]:
-        near, far, after = self._region_pull, self._remote_pull, self._senders.pull_at
-        again = after if self._senders and near is None and after > now else 0
-        start = 0 if self._startup.is_over else self._startup.deadline
+        region, remote, pull_at = self._region_pull, self._remote_pull, self._senders.pull_at
+        retry_at = pull_at if self._senders and region is None and pull_at > now else 0
+        startup_ends_at = 0 if self._startup.is_over else self._startup.deadline
         times = (
-            near.deadline if near else 0,
-            far.deadline if far else self._next_remote_pull_at,
-            start,
-            again,
+            region.deadline if region else 0,
+            remote.deadline if remote else self._next_remote_pull_at,
+            startup_ends_at,
+            retry_at,
         )
-        due = min((at for at in times if at), default=0)
-        if due and due != self._timer_at:
-            self._timer_at = due
-            self._commands.append(ScheduleTimer(due))
-        out, self._commands = self._commands, []
-        return out
+        next_at = min((at for at in times if at), default=0)
+        if next_at and next_at != self._timer_at:
+            self._timer_at = next_at
+            self._commands.append(ScheduleTimer(next_at))
+        commands, self._commands = self._commands, []
+        return commands
 
     def _timer_fired(self, now: int) -> None:
         """Do what is due. Pulls past their deadline end here, so one lost reply does not block the next."""
@@ -162,9 +159,9 @@
             and self._region_pull is None
             and now >= self._senders.pull_at
         ):
-            best = self._senders.best(self.head.key, now)
-            if best is not None:
-                self._send_pull(now, best)
+            source = self._senders.best(self.head.key, now)
+            if source is not None:
+                self._send_pull(now, source)
         if not self._startup.is_over:
             self._startup.update(now, bool(self._region_pull or self._pending_write or self._senders))
 
@@ -183,7 +180,7 @@
         if key <= own:
             self._senders.forget(event.peer)
             if key == own and event.digest_prefix != self.head.digest_prefix:
-                about = f"{event.peer} has digest {event.digest_prefix:08x} for revision {event.term}.{event.number}"
+                about = f"{event.peer} has {event.term}.{event.number} with digest {event.digest_prefix:08x}"
                 self._record_fork(about, event.digest_prefix)
             return
         self.publisher.observe_term(event.term)
@@ -216,10 +213,10 @@
 
     def _step_down(self, term: int) -> None:
         """Stop publishing if a later term is announced, or a revision of this term that is not from here."""
-        lost, keeping = self.publisher.step_down(term), self._pending_write
-        if keeping is not None and 0 < keeping.publisher_term <= term:
-            keeping.publisher_term, lost = 0, True
-        if lost:
+        was_publisher, pending = self.publisher.step_down(term), self._pending_write
+        if pending is not None and 0 < pending.publisher_term <= term:
+            pending.publisher_term, was_publisher = 0, True
+        if was_publisher:
             self._log("publisher_no_more", f"another gateway publishes in term {term}")
 
     def _log(self, what: str, about: str, once: str = "") -> bool:
@@ -239,8 +236,8 @@
         pull = Pull(
             self._pull_number, source, head, now + (REGION_TIMEOUT_US if in_region else REMOTE_TIMEOUT_US)
         )
-        whole = self._needs_document and now >= self._senders.backoff_until
-        request = RevisionRequest(head.term, head.number, head.digest, whole=whole)
+        whole_document = self._needs_document and now >= self._senders.backoff_until
+        request = RevisionRequest(head.term, head.number, head.digest, whole=whole_document)
         if continued is not None:
             pull.document_of, pull.received = continued.document_of, continued.received
             request = RevisionRequest(
@@ -302,18 +299,18 @@
             else:
                 self._reject_reply(now, pull, "bad reply")
 
-    def _reject_reply(self, now: int, pull: Pull, why: str) -> None:
-        self.dropped[why] += 1
-        self._log("bad_reply", f"{why} from {pull.source}")
+    def _reject_reply(self, now: int, pull: Pull, fault: str) -> None:
+        self.dropped[fault] += 1
+        self._log("bad_reply", f"{fault} from {pull.source}")
         self._pull_failed(now, pull)
 
     def _apply_deltas(self, now: int, pull: Pull, reply: RevisionReply) -> None:
         """Apply the deltas of a reply; each is validated here too and must give the digest it names."""
-        head, document, good, fault, why = apply_deltas(self._validate, self.head, self.document, reply)
+        head, document, applied, fault, reason = apply_deltas(self._validate, self.head, self.document, reply)
         if fault == "refused":
-            self._reject_revision(now, reply.deltas[len(good)].revision, why)
-        if good:
-            self._write(head, document, good)
+            self._reject_revision(now, reply.deltas[len(applied)].revision, reason)
+        if applied:
+            self._write(head, document, applied)
             if isinstance(pull.source, int) and not fault and head != reply.head and self._pending_write:
                 self._pending_write.continue_at = pull.source
         if fault == "refused":
@@ -331,20 +328,17 @@
         if len(pull.received) < reply.size:
             self._send_pull(now, pull.source, pull)
             return
-        after, why = validate_patch(self._validate, pull.received, EMPTY_PATCH)
-        if after != pull.received:
-            self._reject_revision(now, reply.head, why or "the document is not canonical")
+        validated, reason = validate_patch(self._validate, pull.received, EMPTY_PATCH)
+        if validated != pull.received:
+            self._reject_revision(now, reply.head, reason or "the document is not canonical")
             self._pull_failed(now, pull)
             return
         self._write(reply.head, pull.received, ())
 
-    def _reject_revision(self, now: int, head: RevisionId, why: str) -> None:
+    def _reject_revision(self, now: int, head: RevisionId, reason: str) -> None:
         """Keep the active revision, and request a whole document, which may be valid, after a while."""
-        self.rejected, self.rejection_reason, self._needs_document = (
-            head,
-            why[:300] or "the revision is not valid",
-            True,
-        )
+        self.rejected, self._needs_document = head, True
+        self.rejection_reason = reason[:300] or "the revision is not valid"
         self.dropped["refused"] += 1
         self._senders.revision_rejected(now)
         self._log("refused", f"{head}: {self.rejection_reason}")
@@ -411,12 +405,12 @@
             self._refuse_order(event.order, refusal)
             return
         term, patch = self.publisher.term_and_patch(event)
-        after, why = validate_patch(self._validate, self.document, patch)
-        if after is None:
-            self._refuse_order(event.order, why)
+        patched, reason = validate_patch(self._validate, self.document, patch)
+        if patched is None:
+            self._refuse_order(event.order, reason)
             return
-        head = RevisionId(term, self.head.number + 1, digest_of(after))
-        self._write(head, after, (Delta(head, patch),), term, event.order)
+        head = RevisionId(term, self.head.number + 1, digest_of(patched))
+        self._write(head, patched, (Delta(head, patch),), term, event.order)
 
     def _refuse_order(self, order: int, reason: str) -> None:
         self._commands.append(OrderAnswered(order, False, reason, self.head))
--- a/mintmast/peers/membership_transport.py
+++ b/mintmast/peers/membership_transport.py
@@ -120,14 +120,14 @@
 
     def _update_address(self, command: MemberMoved) -> None:
         """Store a member's new address; an invalid one is counted, and the one in the settings is used."""
-        place = self._configured_addresses[command.name]
+        address = self._configured_addresses[command.name]
         if command.address:
             try:
-                place = parse_address(command.address)
+                address = parse_address(command.address)
             except ValueError:
                 self.malformed += 1
-        self._addresses[command.name] = place
-        self._log("member_moved", name=command.name, to=f"{place[0]}:{place[1]}")
+        self._addresses[command.name] = address
+        self._log("member_moved", name=command.name, to=f"{address[0]}:{address[1]}")
 
     def _send(self, command: SendGossip) -> None:
         data = self.encode(command.message)
@@ -139,41 +139,41 @@
             self._post(command, data)
 
     def _post(self, command: SendGossip, data: bytes) -> None:
-        def ended(reply: Reply | CallFailure) -> None:
+        def finished(reply: Reply | CallFailure) -> None:
             if reply is CallFailure.REFUSED:
                 self._take(ConnectionRefused(command.to, command.known_generation, command.sent_at))
             elif not isinstance(reply, CallFailure) and reply.status == 200:
-                word = self.decode(reply.body)
-                if word is not None and word.sender == command.to:
-                    self._take(GossipReceived(word, True))
+                message = self.decode(reply.body)
+                if message is not None and message.sender == command.to:
+                    self._take(GossipReceived(message, True))
 
         headers = [("Content-Type", "application/octet-stream")]
-        until = self._loop.now() + PROBE_PERIOD_US
-        self._client.call(self._addresses[command.to], "POST", PATH, ended, headers, data, until)
+        deadline = self._loop.now() + PROBE_PERIOD_US
+        self._client.call(self._addresses[command.to], "POST", PATH, finished, headers, data, deadline)
 
     # Receiving
 
     def _datagram_received(self, data: bytes, peer: tuple[str, int]) -> None:
-        word = self.decode(data)
-        if word is not None:
-            self._take(GossipReceived(word))
+        message = self.decode(data)
+        if message is not None:
+            self._take(GossipReceived(message))
 
     def handle_request(self, body: bytes) -> bytes | None:
         """Return the answer to a message that came over HTTP; None if it is invalid or needs no answer."""
-        word = self.decode(body)
-        if word is None:
+        message = self.decode(body)
+        if message is None:
             return None
         self._pending_reply = None
-        self._take(GossipReceived(word, True))
-        told, self._pending_reply = self._pending_reply, None
-        return told[1] if told is not None and told[0] == word.sender else None
+        self._take(GossipReceived(message, True))
+        reply, self._pending_reply = self._pending_reply, None
+        return reply[1] if reply is not None and reply[0] == message.sender else None
 
-    def encode(self, word: GossipMessage) -> bytes:
+    def encode(self, message: GossipMessage) -> bytes:
         """Return a message as bytes; updates that do not fit into one datagram are left out."""
-        body = msgspec.msgpack.encode(word)
-        while word.updates and len(MAGIC) + MAC_BYTES + len(body) > MAX_DATAGRAM_BYTES:
-            word = msgspec.structs.replace(word, updates=word.updates[: len(word.updates) // 2])
-            body = msgspec.msgpack.encode(word)
+        body = msgspec.msgpack.encode(message)
+        while message.updates and len(MAGIC) + MAC_BYTES + len(body) > MAX_DATAGRAM_BYTES:
+            message = msgspec.structs.replace(message, updates=message.updates[: len(message.updates) // 2])
+            body = msgspec.msgpack.encode(message)
         return MAGIC + self._mac(self._secrets[0], body) + body
 
     def decode(self, data: bytes) -> GossipMessage | None:
@@ -210,29 +210,29 @@
 
     def state(self) -> dict[str, Any]:
         """Return what is known about each gateway, for operators."""
-        now, part = self._loop.now(), self.members
-        spend, rely = part.counts()
+        now, members = self._loop.now(), self.members
+        may_spend, relied_on = members.counts()
         return {
-            "gateway": part.name,
-            "start": part.own_status.generation,
-            "steady": part.is_steady,
-            "condemned": part.disqualified_reason,
-            "slow": part.health_penalty,
-            "count": {"may_spend": spend, "relied_on": rely},
-            "dropped": {**part.dropped, "malformed": self.malformed, "unsealed": self.unauthenticated},
+            "gateway": members.name,
+            "start": members.own_status.generation,
+            "steady": members.is_steady,
+            "condemned": members.disqualified_reason,
+            "slow": members.health_penalty,
+            "count": {"may_spend": may_spend, "relied_on": relied_on},
+            "dropped": {**members.dropped, "malformed": self.malformed, "unsealed": self.unauthenticated},
             "members": {
                 name: {
-                    "stands": each.liveness.name.lower(),
-                    "because": each.liveness.value,
-                    "gone": MEMBER_POLICIES[each.liveness].process_ended,
-                    "start": each.status.generation,
-                    "since_s": round((now - each.since) / 1e6, 1) if each.since else None,
-                    "heard_s": None if each.heard_at is None else round((now - each.heard_at) / 1e6, 1),
-                    "path": each.path.value,
-                    "observers": sorted(each.observers),
-                    **({} if each.revision is None else {"revision": _format_revision(each.revision)}),
+                    "stands": member.liveness.name.lower(),
+                    "because": member.liveness.value,
+                    "gone": MEMBER_POLICIES[member.liveness].process_ended,
+                    "start": member.status.generation,
+                    "since_s": round((now - member.since) / 1e6, 1) if member.since else None,
+                    "heard_s": None if member.heard_at is None else round((now - member.heard_at) / 1e6, 1),
+                    "path": member.path.value,
+                    "observers": sorted(member.observers),
+                    **({} if member.revision is None else {"revision": _format_revision(member.revision)}),
                 }
-                for name, each in part.others.items()
+                for name, member in members.others.items()
             },
         }
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -32,39 +32,39 @@
 from mintmast.decisions.gateways.membership_types import ForgetMember, GossipReceived, PathState
 from mintmast.lab.crowd import SECOND, Audit, Crowd, weather
 
-STANDINGS = st.builds(MemberStatus, st.integers(0, 3), st.integers(0, 3), st.sampled_from(MemberState))
+STATUSES = st.builds(MemberStatus, st.integers(0, 3), st.integers(0, 3), st.sampled_from(MemberState))
 # seconds after the last fault in which all views must agree: a round of probes of five gateways, a suspicion,
 # its refutation, and as much again for the health penalty
-SETTLED = 10
+SETTLE_SECONDS = 10
 
 
-@given(st.lists(STANDINGS, min_size=1, max_size=6), st.randoms())
-def test_words_in_any_order_and_number_end_in_one_standing(told, rng):
-    again = told + rng.choices(told, k=4)
+@given(st.lists(STATUSES, min_size=1, max_size=6), st.randoms())
+def test_merge_ignores_order_and_repetition(statuses, rng):
+    again = statuses + rng.choices(statuses, k=4)
     rng.shuffle(again)
-    ends = []
-    for words in (told, again):
-        held = MemberStatus()
-        for each in words:
-            held = merge_status(held, each)
-        ends.append(held)
-    assert ends[0] == ends[1]
+    results = []
+    for order in (statuses, again):
+        status = MemberStatus()
+        for each in order:
+            status = merge_status(status, each)
+        results.append(status)
+    assert results[0] == results[1]
 
 
-@given(STANDINGS, st.integers(1, 3))
-def test_what_is_said_of_a_living_start_is_outdone_by_its_own_word(told, generation):
-    own = refute(MemberStatus(generation, 0, MemberState.ALIVE), told)
-    if told.generation <= generation:
-        assert merge_status(own, told) == own and own.state is MemberState.ALIVE
+@given(STATUSES, st.integers(1, 3))
+def test_refutation_outranks_reports_about_a_live_generation(reported, generation):
+    own = refute(MemberStatus(generation, 0, MemberState.ALIVE), reported)
+    if reported.generation <= generation:
+        assert merge_status(own, reported) == own and own.state is MemberState.ALIVE
 
 
 @given(st.lists(st.integers(1, 200), max_size=300))
-def test_no_word_is_taken_twice(numbers):
+def test_replay_window_accepts_no_message_twice(numbers):
     window, seen = ReplayWindow(), set()
     for each in numbers:
-        taken = window.accept(7, each)
-        assert not (taken and each in seen)
-        if taken:
+        accepted = window.accept(7, each)
+        assert not (accepted and each in seen)
+        if accepted:
             seen.add(each)
     assert window.accept(8, 1) and not window.accept(7, 10**6)
 
@@ -79,94 +79,101 @@
 ALIVE = MemberStatus(1, 0, MemberState.ALIVE)
 
 
-def steps(state, most):
-    (start, inc, mode, forgets), held, refusals, facts = state
-    own = MemberStatus(start, inc, MemberState.ALIVE)
+def steps(state, max_incarnation):
+    (generation, incarnation, mode, restarts), held, refusals, updates = state
+    own = MemberStatus(generation, incarnation, MemberState.ALIVE)
     if mode == "up":
-        yield (start, inc, "stopped", forgets), held, refusals, facts
-        yield (start, inc, "down", forgets), held, refusals, facts
-        for told in facts:
-            after = refute(own, told)
-            if after != own and after.incarnation <= most:
-                yield (start, after.incarnation, mode, forgets), held, refusals, facts | {after}
+        yield (generation, incarnation, "stopped", restarts), held, refusals, updates
+        yield (generation, incarnation, "down", restarts), held, refusals, updates
+        for update in updates:
+            after = refute(own, update)
+            if after != own and after.incarnation <= max_incarnation:
+                yield (generation, after.incarnation, mode, restarts), held, refusals, updates | {after}
     elif mode == "stopped":
-        yield (start, inc, "up", forgets), held, refusals, facts
-        yield (start, inc, "down", forgets), held, refusals, facts
-    elif start == 1:
+        yield (generation, incarnation, "up", restarts), held, refusals, updates
+        yield (generation, incarnation, "down", restarts), held, refusals, updates
+    elif generation == 1:
         again = MemberStatus(2, 0, MemberState.ALIVE)
-        yield (2, 0, "up", forgets), held, refusals, facts | {again}
-    for place, (known, silent) in enumerate(held):
+        yield (2, 0, "up", restarts), held, refusals, updates | {again}
+    for index, (known, observers) in enumerate(held):
 
-        def put(told, who, refusals=refusals, place=place):
+        def put(update, observers_after, refusals=refusals, index=index):
             return (
-                (start, inc, mode, forgets),
-                held[:place] + ((told, who),) + held[place + 1 :],
+                (generation, incarnation, mode, restarts),
+                held[:index] + ((update, observers_after),) + held[index + 1 :],
                 refusals,
-                facts | {told},
+                updates | {update},
             )
 
-        if forgets:
-            empty = held[:place] + ((MemberStatus(), frozenset()),) + held[place + 1 :]
-            none = refusals[:place] + (None,) + refusals[place + 1 :]
-            yield (start, inc, mode, 0), empty, none, facts
-        for told in facts:
-            if merge_status(known, told) != known:
-                yield put(told, frozenset("?") if told.state is MemberState.SUSPECTED else frozenset())
+        if restarts:
+            empty = held[:index] + ((MemberStatus(), frozenset()),) + held[index + 1 :]
+            none = refusals[:index] + (None,) + refusals[index + 1 :]
+            yield (generation, incarnation, mode, 0), empty, none, updates
+        for update in updates:
+            if merge_status(known, update) != known:
+                yield put(update, frozenset("?") if update.state is MemberState.SUSPECTED else frozenset())
         suspected = MemberStatus(known.generation, known.incarnation, MemberState.SUSPECTED)
-        if known.generation and merge_status(known, suspected) == suspected and "me" not in silent:
-            yield put(suspected, (silent if known == suspected else frozenset()) | {"me"})
-        if known == suspected == held[1 - place][0] and "me" in held[1 - place][1]:
-            yield put(suspected, silent | {"the other"})
-        if known == suspected and len(silent) >= 2:
+        if known.generation and merge_status(known, suspected) == suspected and "me" not in observers:
+            yield put(suspected, (observers if known == suspected else frozenset()) | {"me"})
+        if known == suspected == held[1 - index][0] and "me" in held[1 - index][1]:
+            yield put(suspected, observers | {"the other"})
+        if known == suspected and len(observers) >= 2:
             yield put(MemberStatus(known.generation, known.incarnation, MemberState.UNREACHABLE), frozenset())
-        if mode == "down" and refusals[place] is None and known.generation:
+        if mode == "down" and refusals[index] is None and known.generation:
             yield (
-                (start, inc, mode, forgets),
+                (generation, incarnation, mode, restarts),
                 held,
-                refusals[:place] + (known.generation,) + refusals[place + 1 :],
-                facts,
+                refusals[:index] + (known.generation,) + refusals[index + 1 :],
+                updates,
             )
-        if refusals[place] is not None:
-            after = refusals[:place] + (None,) + refusals[place + 1 :]
-            yield (start, inc, mode, forgets), held, after, facts
-            if apply_refusal(known, refusals[place]) != known:
-                yield put(apply_refusal(known, refusals[place]), frozenset(), after)
+        if refusals[index] is not None:
+            after = refusals[:index] + (None,) + refusals[index + 1 :]
+            yield (generation, incarnation, mode, restarts), held, after, updates
+            if apply_refusal(known, refusals[index]) != known:
+                yield put(apply_refusal(known, refusals[index]), frozenset(), after)
 
 
-def that_matters(state):
+def canonical_state(state):
     """Remove updates that can no longer change anything, whenever they arrive."""
-    (start, inc, mode, forgets), held, refusals, facts = state
-    least = min([known for known, _ in held] + [MemberStatus(start, inc, MemberState.ALIVE)])
+    (generation, incarnation, mode, restarts), held, refusals, updates = state
+    least = min([known for known, _ in held] + [MemberStatus(generation, incarnation, MemberState.ALIVE)])
     alike = sorted(zip(held, refusals, strict=True), key=repr)  # the observers are interchangeable
     held, refusals = zip(*alike, strict=True)
-    return (start, inc, mode, forgets), held, refusals, frozenset(told for told in facts if told > least)
+    return (
+        (generation, incarnation, mode, restarts),
+        held,
+        refusals,
+        frozenset(update for update in updates if update > least),
+    )
 
 
-def walk(most=1, forgets=1):
+def walk(max_incarnation=1, restarts=1):
     """Visit all states up to an incarnation, with restarts of the observers."""
-    first = (1, 0, "up", forgets), ((ALIVE, frozenset()),) * 2, (None, None), frozenset({ALIVE})
-    seen, front = {first}, [first]
-    while front:
-        state = front.pop()
-        (start, inc, mode, _), held, _, facts = state
+    first = (1, 0, "up", restarts), ((ALIVE, frozenset()),) * 2, (None, None), frozenset({ALIVE})
+    seen, stack = {first}, [first]
+    while stack:
+        state = stack.pop()
+        (generation, incarnation, mode, _), held, _, updates = state
         for known, _ in held:
-            gone = known.state is MemberState.DEAD
-            assert not (gone and known.generation == start and mode != "down"), f"dead, but lives: {state}"
-        if mode == "up" and inc < most:  # once every update has arrived, all know that it is alive
-            own = MemberStatus(start, inc, MemberState.ALIVE)
-            for told in sorted(facts):
-                own = refute(own, told)
-            assert max(facts | {own}) == own, f"it cannot be heard any more: {state}"
-        for after in map(that_matters, steps(state, most)):
+            is_dead = known.state is MemberState.DEAD
+            alive = known.generation == generation and mode != "down"
+            assert not (is_dead and alive), f"dead, but lives: {state}"
+        # once every update has arrived, all know that it is alive
+        if mode == "up" and incarnation < max_incarnation:
+            own = MemberStatus(generation, incarnation, MemberState.ALIVE)
+            for update in sorted(updates):
+                own = refute(own, update)
+            assert max(updates | {own}) == own, f"its refutation is outranked: {state}"
+        for after in map(canonical_state, steps(state, max_incarnation)):
             if after not in seen:
                 seen.add(after)
-                front.append(after)
+                stack.append(after)
     return seen
 
 
 def test_every_state_of_two_observers_and_a_subject():
     walk(0)  # with an observer's restart; incarnations and restarts together are run manually
-    seen = walk(forgets=0)
+    seen = walk(restarts=0)
     print(f"{len(seen)} states")
     assert {known.state for _, held, _, _ in seen for known, _ in held} == set(MemberState) - {
         MemberState.LEFT
@@ -183,22 +190,22 @@
 
 
 @pytest.mark.parametrize("fault", WRONG)
-def test_the_model_finds_a_wrong_machine(monkeypatch, fault):
+def test_the_model_detects_a_fault(monkeypatch, fault):
     monkeypatch.setitem(globals(), *WRONG[fault])
     with pytest.raises(AssertionError):
-        walk(forgets=0)
+        walk(restarts=0)
 
 
 # Policies
 
 
-def test_only_proofs_make_a_gateway_gone_and_silence_takes_away_nothing_but_trust():
-    gone = {proof for proof, row in MEMBER_POLICIES.items() if row.process_ended}
-    assert gone == {Liveness.REFUSED, Liveness.LATER_START, Liveness.ORDER} and set(MEMBER_POLICIES) == set(
+def test_only_proof_ends_a_process_and_silence_only_removes_capacity():
+    ended = {liveness for liveness, row in MEMBER_POLICIES.items() if row.process_ended}
+    assert ended == {Liveness.REFUSED, Liveness.LATER_START, Liveness.ORDER} and set(MEMBER_POLICIES) == set(
         Liveness
     )
-    for proof, row in MEMBER_POLICIES.items():
-        assert row.may_own_keys == row.may_spend_budget or proof is Liveness.LEFT
+    for liveness, row in MEMBER_POLICIES.items():
+        assert row.may_own_keys == row.may_spend_budget or liveness is Liveness.LEFT
         assert row.may_own_keys is not row.process_ended  # keys are released only on proof
     assert count_live([Liveness.HEARD, Liveness.CONFIRMED, Liveness.REFUSED]) == (3, 2)
 
@@ -210,26 +217,26 @@
     crowd = Crowd(count, seed, **more)
     crowd.run(8)
     assert crowd.agree() and all(part.is_steady for part in crowd.parts.values())
-    return crowd, Audit(crowd, SETTLED)
+    return crowd, Audit(crowd, SETTLE_SECONDS)
 
 
 def settle(crowd, audit):
-    crowd.run(SETTLED)
+    crowd.run(SETTLE_SECONDS)
     assert crowd.agree(), {name: crowd.view(name) for name in crowd.parts}
     assert audit.checked and not audit.faults, audit.faults[:3]
 
 
-@pytest.mark.parametrize("way", [("g0", "g1"), ("g1", "g0"), ("g2", "g4")])
-def test_a_path_cut_one_way_changes_no_view_and_is_told_of(way):
+@pytest.mark.parametrize("path", [("g0", "g1"), ("g1", "g0"), ("g2", "g4")])
+def test_a_path_broken_in_one_direction_changes_no_view_and_is_reported(path):
     crowd, audit = crowd_of()
     crowd.changes.clear()
-    crowd.cut(*way)
+    crowd.cut(*path)
     crowd.run(30)
     assert not [each for _, _, each in crowd.changes if each.liveness is Liveness.CONFIRMED]
-    source, target = way
+    source, target = path
     assert crowd.parts[source].others[target].path is PathState.OUTBOUND_BROKEN
     assert crowd.parts[target].others[source].path is PathState.INBOUND_BROKEN
-    crowd.cut(*way, False)
+    crowd.cut(*path, False)
     settle(crowd, audit)
     crowd.run(30)
     assert {m.path for part in crowd.parts.values() for m in part.others.values()} == {PathState.WORKING}
@@ -245,7 +252,7 @@
     settle(crowd, audit)
 
 
-def test_a_gateway_that_hears_all_and_is_heard_by_none_ends_in_one_view():
+def test_a_gateway_heard_by_none_is_unreachable_in_every_view():
     crowd, audit = crowd_of()
     for target in crowd.names[1:]:
         crowd.cut("g0", target)
@@ -259,7 +266,7 @@
     settle(crowd, audit)
 
 
-def test_a_flapping_path_and_a_fifth_of_all_datagrams_lost_take_out_nobody():
+def test_flapping_and_a_fifth_of_datagrams_lost_make_nobody_unreachable():
     crowd, audit = crowd_of()
     crowd.changes.clear()
     draw, at = random.Random(1), 0.0
@@ -278,7 +285,7 @@
 
 
 @pytest.mark.parametrize("span", [0.2, 1, 5, 30])
-def test_a_stopped_gateway_accuses_nobody_when_it_goes_on(span):
+def test_a_paused_gateway_suspects_nobody_when_it_resumes(span):
     crowd, audit = crowd_of()
     crowd.stop("g0")
     crowd.run(span)
@@ -290,7 +297,7 @@
     assert not mine and crowd.parts["g0"].is_steady
 
 
-def test_all_but_one_stopped_and_continued():
+def test_all_but_one_paused_and_resumed():
     crowd, audit = crowd_of()
     for name in crowd.names[1:]:
         crowd.stop(name)
@@ -314,7 +321,7 @@
     settle(crowd, audit)
 
 
-def test_a_machine_that_vanishes_is_never_gone_until_an_operator_says_so():
+def test_a_vanished_machine_counts_as_ended_only_on_an_operators_order():
     crowd, audit = crowd_of()
     crowd.vanish("g3")
     crowd.run(120)
@@ -328,7 +335,7 @@
     settle(crowd, audit)
 
 
-def test_two_processes_of_one_name_the_earlier_one_is_told_and_votes_no_more():
+def test_of_two_processes_with_one_name_the_earlier_is_disqualified():
     crowd, _ = crowd_of(3)
     part, later = crowd.parts["g0"], crowd.parts["g0"].own_status.generation + 5
     crowd._take(
@@ -339,7 +346,7 @@
     assert crowd.parts["g2"].liveness("g0", part.own_status.generation) is Liveness.LATER_START
 
 
-def test_a_start_with_a_clock_that_went_back_is_told_and_says_so():
+def test_a_start_after_the_clock_went_back_is_disqualified():
     crowd, _ = crowd_of(3)
     crowd.kill("g0")
     crowd.start("g0", 7)
@@ -347,7 +354,7 @@
     assert "later process" in crowd.parts["g0"].disqualified_reason
 
 
-def test_two_hundred_gateways_that_start_at_once_make_no_storm_and_know_each_other():
+def test_two_hundred_simultaneous_starts_converge_without_a_message_storm():
     crowd = Crowd(200, 1)
     crowd.run(1)
     assert max(crowd.sent.values()) < 40
@@ -355,39 +362,41 @@
     assert crowd.agree() and all(part.is_steady for part in crowd.parts.values())
 
 
-def test_words_that_are_old_doubled_foreign_or_odd_change_nothing():
+def test_old_duplicate_foreign_or_invalid_messages_change_nothing():
     part = Members("a", 5, ("a", "b", "c"), random.Random(1))
-    good = GossipMessage(
+    valid = GossipMessage(
         GossipKind.PING, "b", 9, 0, 1, 1, updates=(MemberUpdate("c", 4, 0, 9), MemberUpdate("x", 1, 0, 0))
     )
-    assert part.handle(0, GossipReceived(good)) and part.liveness("b") is Liveness.HEARD
-    for word in (
-        good,
+    assert part.handle(0, GossipReceived(valid)) and part.liveness("b") is Liveness.HEARD
+    for message in (
+        valid,
         GossipMessage(GossipKind.PING, "b", 8, 0, 7, 1),
         GossipMessage(GossipKind.PING, "x", 1, 0, 1, 1),
     ):
         assert not [
-            each for each in part.handle(0, GossipReceived(word)) if not isinstance(each, members.SendGossip)
+            each
+            for each in part.handle(0, GossipReceived(message))
+            if not isinstance(each, members.SendGossip)
         ]
     assert part.dropped == {"foreign": 2, "old": 1, "doubled": 1, "bad state": 1}
 
 
-def play(seed, count=5):
+def run_random_faults(seed, count=5):
     crowd = Crowd(count, seed)
     crowd.run(8)
-    audit = Audit(crowd, SETTLED)
+    audit = Audit(crowd, SETTLE_SECONDS)
     weather(crowd, seed, 40)
     crowd.run(41)
     crowd.cuts.clear()
-    crowd.run(SETTLED)
+    crowd.run(SETTLE_SECONDS)
     if not crowd.agree():
         audit.faults.append(f"no one view: { {name: crowd.view(name) for name in crowd.parts} }")
     return audit
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_in_random_weather_nothing_alive_is_gone_and_one_view_comes_out(seed):
-    audit = play(seed)
+def test_random_faults_end_no_live_process_and_views_converge(seed):
+    audit = run_random_faults(seed)
     assert audit.checked and not audit.faults, audit.faults[:3]
 
 
@@ -403,52 +412,52 @@
 
 
 @pytest.mark.parametrize("fault", MUTATIONS)
-def test_a_defence_that_is_off_is_seen(monkeypatch, fault):
+def test_disabling_a_safeguard_is_detected(monkeypatch, fault):
     if fault == "own pause ignored":
         monkeypatch.setattr(*MUTATIONS[fault])
         with pytest.raises(AssertionError):
-            test_a_stopped_gateway_accuses_nobody_when_it_goes_on(5)
+            test_a_paused_gateway_suspects_nobody_when_it_resumes(5)
         return
     where, name, value = MUTATIONS[fault]
     monkeypatch.setattr(where, name, value)
     if name == "MEMBER_POLICIES":
         monkeypatch.setattr("mintmast.lab.crowd.MEMBER_POLICIES", value)
-    assert any(play(seed).faults for seed in range(8))
+    assert any(run_random_faults(seed).faults for seed in range(8))
 
 
 # Traffic
 
 
-def seen(crowd, seconds, names=None):
+def measure_traffic(crowd, seconds, names=None):
     """Return messages and bytes a second of each gateway, the maximum and the mean of both."""
     sent, bytes_ = dict(crowd.sent), dict(crowd.bytes)
     crowd.run(seconds)
     names = [each for each in names or crowd.names if each in crowd.parts]
-    words = [(crowd.sent[n] - sent[n]) / seconds for n in names]
-    told = [(crowd.bytes[n] - bytes_[n]) / seconds for n in names]
-    return max(words), sum(words) / len(words), max(told), sum(told) / len(told)
+    messages = [(crowd.sent[n] - sent[n]) / seconds for n in names]
+    bytes_sent = [(crowd.bytes[n] - bytes_[n]) / seconds for n in names]
+    return max(messages), sum(messages) / len(messages), max(bytes_sent), sum(bytes_sent) / len(bytes_sent)
 
 
 @pytest.mark.parametrize("count", [12, 60])
-def test_where_all_hold_the_same_words_are_few_and_pass_nothing_on(count):
+def test_agreeing_gateways_send_few_messages_without_updates(count):
     crowd = Crowd(count, 3)
     crowd.run(20)
-    most, mean, _, told = seen(crowd, 20)
-    assert 3.5 < mean < 4.5 and most < 6 and told < 400
+    most, mean, _, bytes_sent = measure_traffic(crowd, 20)
+    assert 3.5 < mean < 4.5 and most < 6 and bytes_sent < 400
     crowd.vanish("g3")
-    _, mean, _, _ = seen(crowd, 4)
+    _, mean, _, _ = measure_traffic(crowd, 4)
     assert mean > 6 and {part.others["g3"].liveness for name, part in crowd.parts.items()} == {
         Liveness.CONFIRMED
     }
     crowd.run(10)
-    most, mean, _, told = seen(crowd, 20)  # the same again with one member lost
-    assert 3.5 < mean < 6 and told < 500
+    most, mean, _, bytes_sent = measure_traffic(crowd, 20)  # the same again with one member lost
+    assert 3.5 < mean < 6 and bytes_sent < 500
     crowd.start("g3")
     crowd.run(4)
     assert crowd.agree()
 
 
-def test_what_one_gateway_alone_holds_otherwise_is_found_by_the_digest_and_mended():
+def test_the_digest_reveals_and_repairs_one_diverged_view():
     crowd = Crowd(30, 5)
     crowd.run(15)
     odd = crowd.parts["g4"]
@@ -456,32 +465,32 @@
         odd._set_status(crowd.now, odd.others[name], MemberStatus(), Liveness.NEVER_HEARD)
     crowd.run(6)
     assert crowd.agree() and odd.others["g7"].liveness is odd.others["g9"].liveness is Liveness.HEARD
-    _, mean, _, _ = seen(crowd, 5)
+    _, mean, _, _ = measure_traffic(crowd, 5)
     assert mean < 5
 
 
-def test_a_region_with_a_gateway_of_before_passes_all_on_all_the_time():
+def test_messages_without_a_digest_keep_old_updates_flowing():
     part = Members("a", 1, ("a", "b", "c"), random.Random(1))
     part.begin(0)
     for seq in (1, 2):
         for name in ("b", "c"):
             part.handle(seq, GossipReceived(GossipMessage(GossipKind.ACK, name, 1, 0, seq, 0)))
     assert not part._is_idle(3) and part._diverged_until == 2 + members.DIVERGENCE_US
-    told = GossipWithDigest(
+    message = GossipWithDigest(
         GossipKind.ACK, "b", 1, 0, 3, 0, "", -1, (), "", *members.NO_REVISION, part._digest
     )
-    part.handle(2 + members.DIVERGENCE_US, GossipReceived(told))
+    part.handle(2 + members.DIVERGENCE_US, GossipReceived(message))
     assert part._is_idle(2 + members.DIVERGENCE_US) == (not part._pending_updates)
 
 
-def test_digests_tell_every_two_changes_apart_and_what_is_kept_is_what_stands():
-    marks = {
+def test_digests_differ_for_different_changes_and_match_the_stored_statuses():
+    hashes = {
         hash_status(f"g{n}", MemberStatus(1, m, state))
         for n in range(20)
         for m in range(5)
         for state in MemberState
     }
-    assert len(marks) == 500 and hash_status("g", MemberStatus()) == 0
+    assert len(hashes) == 500 and hash_status("g", MemberStatus()) == 0
     # two equal changes must not cancel out, as they do with sums and with CRCs
     both = [
         hash_status(f"g{n}", MemberStatus(1, 0)) ^ hash_status(f"g{n}", MemberStatus(1, 1)) for n in range(50)
@@ -498,14 +507,14 @@
             assert part._digest == functools.reduce(
                 operator.xor, (hash_status(*each) for each in all_.items())
             )
-            there = {n for n, m in part.others.items() if Members._is_present(m)}
-            assert set(part._not_present) == set(part.others) - there
+            present = {n for n, m in part.others.items() if Members._is_present(m)}
+            assert set(part._not_present) == set(part.others) - present
             assert set(part._suspected) == {
                 n for n, m in part.others.items() if m.status.state is MemberState.SUSPECTED
             }
 
 
-def test_one_that_starts_does_not_tell_for_news_what_all_others_know():
+def test_a_started_gateway_does_not_resend_what_all_others_know():
     crowd = Crowd(80, 6)
     crowd.run(60)
     crowd.kill("g3")
@@ -514,47 +523,49 @@
     crowd.run(5)
     part = crowd.parts["g3"]
     assert crowd.agree() and not part._pending_updates and part._is_idle(crowd.now)
-    _, mean, _, told = seen(crowd, 5)
-    assert mean < 5 and told < 450
+    _, mean, _, bytes_sent = measure_traffic(crowd, 5)
+    assert mean < 5 and bytes_sent < 450
 
 
-def test_one_that_comes_back_is_not_met_by_all_at_once_nor_probed_in_step_while_it_is_away():
+def test_an_absent_gateway_is_not_probed_in_step_nor_met_by_all_on_its_return():
     crowd = Crowd(100, 2)
     crowd.run(70)
-    came = []
+    probes = []
     crowd.vanish("g40")
     crowd.run(8)
     send = crowd._send
 
     def counted(name, command):
         if command.to == "g40" and command.message.kind == GossipKind.PING and not command.message.subject:
-            came.append((crowd.now, name))
+            probes.append((crowd.now, name))
         send(name, command)
 
     crowd._send = counted
     crowd.run(30)
-    away = [sum(at // SECOND == second for at, _ in came) for second in {at // SECOND for at, _ in came}]
-    assert 30 < len(came) < 110 and max(away) < 15  # two a second, of a hundred gateways
-    came.clear()
+    per_second = [
+        sum(at // SECOND == second for at, _ in probes) for second in {at // SECOND for at, _ in probes}
+    ]
+    assert 30 < len(probes) < 110 and max(per_second) < 15  # two a second, of a hundred gateways
+    probes.clear()
     crowd.start("g40")
     crowd.run(1)
-    assert len(came) < 30
+    assert len(probes) < 30
     crowd.run(4)
     assert crowd.agree()
 
 
-def test_few_probe_a_suspected_one_before_its_turn(monkeypatch):
-    def probed(verifiers):
-        monkeypatch.setattr(members, "EARLY_PROBERS", verifiers)
+def test_few_gateways_probe_a_suspected_one_out_of_turn(monkeypatch):
+    def probed(early_probers):
+        monkeypatch.setattr(members, "EARLY_PROBERS", early_probers)
         crowd = Crowd(100, 2)
         crowd.run(15)
         crowd.stop("g40")
         before = dict(crowd.sent)
-        begun, sure = crowd.now, []
-        while sure.count(Liveness.CONFIRMED) <= 90 and crowd.now - begun < 6 * SECOND:
+        begun, liveness = crowd.now, []
+        while liveness.count(Liveness.CONFIRMED) <= 90 and crowd.now - begun < 6 * SECOND:
             crowd.run(0.1)
-            sure = [part.others["g40"].liveness for name, part in crowd.parts.items() if name != "g40"]
-        assert sure.count(Liveness.CONFIRMED) > 90
+            liveness = [part.others["g40"].liveness for name, part in crowd.parts.items() if name != "g40"]
+        assert liveness.count(Liveness.CONFIRMED) > 90
         crowd.go_on("g40")
         crowd.run(0.1)
         return crowd.sent["g40"] - before["g40"]
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -22,55 +22,57 @@
 
 SECRETS = ["a secret of thirty-two characters", "another one of thirty-two letters"]
 # seconds of real time that a process may need; no assertion measures it
-PATIENCE = 40
+TIMEOUT_SECONDS = 40
 
 
-def roster(world=None, name="a", secrets=SECRETS):
+def transport_of(world=None, name="a", secrets=SECRETS):
     world = world or World(1)
     node = world.node(name)
     members = {each: (each, 7946) for each in ("a", "b", "c")}
 
-    def called(exchange):
-        told = made.handle_request(exchange.body)
-        exchange.respond(200, [], told) if told is not None else exchange.respond_problem(401, "no")
+    def handle(exchange):
+        reply = transport.handle_request(exchange.body)
+        exchange.respond(200, [], reply) if reply is not None else exchange.respond_problem(401, "no")
 
-    HttpServer(node, name, 7946, called)
-    made = MembershipTransport(node, name, 1, members, secrets, (name, 7946), 1, lambda event, **fields: None)
-    return world, made
+    HttpServer(node, name, 7946, handle)
+    transport = MembershipTransport(
+        node, name, 1, members, secrets, (name, 7946), 1, lambda event, **fields: None
+    )
+    return world, transport
 
 
-def test_three_on_a_lossy_network_know_each_other_and_secrets_change_under_way():
+def test_three_gateways_on_a_lossy_network_and_a_change_of_secrets():
     world = World(1)
     world.loss = world.duplication = 0.2
-    parts = [roster(world, name, SECRETS[:: -1 if name == "b" else 1])[1] for name in "abc"]
+    transports = [transport_of(world, name, SECRETS[:: -1 if name == "b" else 1])[1] for name in "abc"]
     world.run(world.time + 10_000_000)
-    for part in parts:
-        assert {each["stands"] for each in part.state()["members"].values()} == {"heard"}
-        assert part.unauthenticated == 0 and part.members.dropped["doubled"]
-    parts[2]._secrets = [b"one that nobody else knows, alas, at all"]
+    for transport in transports:
+        assert {each["stands"] for each in transport.state()["members"].values()} == {"heard"}
+        assert transport.unauthenticated == 0 and transport.members.dropped["doubled"]
+    transports[2]._secrets = [b"one that nobody else knows, alas, at all"]
     world.run(world.time + 20_000_000)
-    assert parts[0].unauthenticated and parts[0].state()["members"]["c"]["stands"] == "confirmed"
+    assert transports[0].unauthenticated and transports[0].state()["members"]["c"]["stands"] == "confirmed"
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=1500), st.integers(0, 200))
-def test_bytes_that_are_no_word_are_dropped_and_counted(data, cut):
-    _, part = roster()
-    good = part.encode(GossipMessage(GossipKind.PING, "b", 9, 0, 1, 1))
-    assert part.decode(good) is not None
-    for bad in (data, good[: min(cut, len(good) - 1)], good + b"x"):
-        assert part.decode(bad) is None
-    assert part.malformed + part.unauthenticated == 3
-
-
-def test_a_word_with_the_longest_names_is_still_one_datagram_and_keeps_some_news():
-    _, part = roster()
-    news = tuple(MemberUpdate(f"{n:0100}", 1 << 45, 1 << 20, 1, f"{n:0100}") for n in range(MAX_UPDATES))
-    word = GossipMessage(
-        GossipKind.ACK, "x" * 100, 1 << 45, 1 << 20, 1 << 40, 1 << 30, "y" * 100, 1 << 30, news
+def test_invalid_bytes_are_dropped_and_counted(data, cut):
+    _, transport = transport_of()
+    valid = transport.encode(GossipMessage(GossipKind.PING, "b", 9, 0, 1, 1))
+    assert transport.decode(valid) is not None
+    for invalid in (data, valid[: min(cut, len(valid) - 1)], valid + b"x"):
+        assert transport.decode(invalid) is None
+    assert transport.malformed + transport.unauthenticated == 3
+
+
+def test_a_message_with_the_longest_names_fits_one_datagram_with_some_updates():
+    _, transport = transport_of()
+    updates = tuple(MemberUpdate(f"{n:0100}", 1 << 45, 1 << 20, 1, f"{n:0100}") for n in range(MAX_UPDATES))
+    message = GossipMessage(
+        GossipKind.ACK, "x" * 100, 1 << 45, 1 << 20, 1 << 40, 1 << 30, "y" * 100, 1 << 30, updates
     )
-    data = part.encode(word)
-    assert len(data) <= MAX_DATAGRAM_BYTES and 0 < len(part.decode(data).updates) < MAX_UPDATES
+    data = transport.encode(message)
+    assert len(data) <= MAX_DATAGRAM_BYTES and 0 < len(transport.decode(data).updates) < MAX_UPDATES
 
 
 def stage_of(kind, gateways=3, **more):
@@ -81,7 +83,7 @@
     return stage
 
 
-def test_gateways_in_memory_tell_a_dead_process_from_a_cut_path():
+def test_a_dead_process_is_distinguished_from_a_broken_path():
     stage = stage_of(MemoryStage)
     try:
         for number in range(3):
@@ -119,11 +121,11 @@
         return CliRunner().invoke(main, ["members", *args], env={"MINTMAST_ADMIN_TOKEN": "operators"})
 
     def told(self, number):
-        said = json.loads(self.ask("--admin", self.admins[number], "--json").stdout)
-        return {name: each["stands"] for name, each in said[0]["members"].items()} if said else {}
+        reports = json.loads(self.ask("--admin", self.admins[number], "--json").stdout)
+        return {name: each["stands"] for name, each in reports[0]["members"].items()} if reports else {}
 
     def until(self, number, **stands):
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + TIMEOUT_SECONDS
         while {name: self.told(number).get(name) for name in stands} != stands:
             assert time.monotonic() < end, (self.told(number), stands)
             self.stage.loop.run(self.stage.now() + 100_000)
@@ -139,7 +141,7 @@
     made.stage.close()
 
 
-def test_processes_know_each_other_and_a_stopped_one_is_unreachable_and_never_gone(region):
+def test_a_stopped_process_is_unreachable_and_never_ended(region):
     region.until(0, gw1="heard", gw2="heard")
     region.signal(2, signal.SIGSTOP)
     try:
@@ -149,13 +151,13 @@
         region.signal(2, signal.SIGCONT)
     region.until(2, gw0="heard", gw1="heard")
     region.until(0, gw1="heard", gw2="heard")
-    log = (region.stage.folder.name + "/gw2.log", region.stage.folder.name + "/gw0.log")
-    said = [json.loads(line) for line in open(log[0], encoding="utf-8")]
-    assert any(each["event"] == "membership" and each["what"] == "stood_still" for each in said)
-    assert not [e for e in said if e["event"] == "member" and e["stands"] == Liveness.CONFIRMED.value]
+    logs = (region.stage.folder.name + "/gw2.log", region.stage.folder.name + "/gw0.log")
+    lines = [json.loads(line) for line in open(logs[0], encoding="utf-8")]
+    assert any(each["event"] == "membership" and each["what"] == "stood_still" for each in lines)
+    assert not [e for e in lines if e["event"] == "member" and e["stands"] == Liveness.CONFIRMED.value]
 
 
-def test_a_killed_process_is_gone_by_its_machines_word_and_back_with_its_next_start(region):
+def test_a_killed_process_ends_by_refusal_and_returns_with_its_next_start(region):
     region.until(0, gw1="heard", gw2="heard")
     region.stage.kill_gateway(1)
     region.until(0, gw1="refused")
@@ -169,14 +171,14 @@
     region.until(1, gw0="heard", gw2="heard")
 
 
-def test_an_operators_word_is_taken_only_when_confirmed(region):
+def test_forget_requires_confirmation(region):
     refused = region.ask("forget", "gw2", "--admin", region.admins[0])
     assert refused.exit_code == 2 and "charged twice" in refused.stderr
     assert region.ask("forget", "nobody", "--yes", "--admin", region.admins[0]).exit_code == 1
     assert region.ask("--admin", "nowhere").exit_code == 2
 
 
-def test_an_orderly_end_is_told(region):
+def test_an_orderly_shutdown_is_announced(region):
     region.until(0, gw1="heard")
     region.signal(1, signal.SIGTERM)
     region.until(0, gw1="left")
--- a/tests/test_revision_gossip.py
+++ b/tests/test_revision_gossip.py
@@ -48,34 +48,36 @@
 DELTAS = [Delta(head(1, n + 1, DOCUMENTS[n]), DOCUMENTS[n]) for n in range(1, 40)]
 
 
-def told(at):
-    return (*at.key, at.digest_prefix)
+def summary(revision):
+    return (*revision.key, revision.digest_prefix)
 
 
-def settled(**more):
+def settled_replica(**more):
     part = Revisions(more.pop("stored", fleet()["b"]), more.pop("check", check), random.Random(1), 2)
     part.begin(0)
     part._startup.is_over = True
     return part
 
 
-def history(of):
-    return History(Stored(DELTAS[of - 1].revision if of else ONE, b"", 0, ONE, tuple(DELTAS[:of])))
+def history_of(number):
+    return History(
+        Stored(DELTAS[number - 1].revision if number else ONE, b"", 0, ONE, tuple(DELTAS[:number]))
+    )
 
 
-def asks(out):
+def pull_requests(out):
     return [each for each in out if isinstance(each, PullRevisions)]
 
 
 # What a message carries
 
 
-def test_revisions_after_a_head_as_far_as_there_is_room_and_none_after_another_one_of_its_number():
-    kept = history(30)
-    assert kept.deltas_after(told(ONE), 10**6) == tuple(DELTAS[:16])
-    assert kept.deltas_after(told(DELTAS[27].revision), 10**6) == tuple(DELTAS[28:30])
-    assert kept.deltas_after(told(DELTAS[29].revision), 10**6) == ()
-    few = kept.deltas_after(told(DELTAS[3].revision), MAX_DELTA_BYTES)
+def test_deltas_after_a_revision_fit_the_limit_and_need_its_digest():
+    kept = history_of(30)
+    assert kept.deltas_after(summary(ONE), 10**6) == tuple(DELTAS[:16])
+    assert kept.deltas_after(summary(DELTAS[27].revision), 10**6) == tuple(DELTAS[28:30])
+    assert kept.deltas_after(summary(DELTAS[29].revision), 10**6) == ()
+    few = kept.deltas_after(summary(DELTAS[3].revision), MAX_DELTA_BYTES)
     assert few == tuple(DELTAS[4 : 4 + len(few)]) and 5 < len(few) < 26
     for no in (
         (1, 1, ONE.digest_prefix ^ 1),
@@ -85,10 +87,10 @@
         (2, 1, ONE.digest_prefix),
     ):
         assert kept.deltas_after(no, 10**6) == ()
-    assert history(0).deltas_after(told(ONE), 10**6) == ()
+    assert history_of(0).deltas_after(summary(ONE), 10**6) == ()
 
 
-def test_a_head_goes_with_the_first_probes_after_a_change_and_with_one_in_a_while():
+def test_a_revision_is_announced_after_a_change_and_periodically():
     rumour = RevisionGossip(lambda told, room: ())
     rumour.set_head((1, 2, 3))
     assert all(rumour.should_announce(n) for n in range(ANNOUNCEMENTS))
@@ -107,59 +109,61 @@
     )
 
 
-def test_the_same_is_sent_to_one_gateway_once_in_a_while_and_at_once_after_the_next_change():
-    rumour = RevisionGossip(history(3).deltas_after)
-    rumour.set_head(told(DELTAS[2].revision))
+def test_deltas_are_resent_after_an_interval_or_the_next_change():
+    rumour = RevisionGossip(history_of(3).deltas_after)
+    rumour.set_head(summary(DELTAS[2].revision))
     assert (
-        rumour.deltas_for(5, "b", told(ONE)) == tuple(DELTAS[:3])
-        and rumour.deltas_for(6, "b", told(ONE)) == ()
+        rumour.deltas_for(5, "b", summary(ONE)) == tuple(DELTAS[:3])
+        and rumour.deltas_for(6, "b", summary(ONE)) == ()
     )
-    assert rumour.deltas_for(7, "c", told(DELTAS[0].revision)) == tuple(DELTAS[1:3])
-    assert not rumour.should_send_deltas(4 + RESEND_US, "b", told(ONE)) and rumour.should_send_deltas(
-        5 + RESEND_US, "b", told(ONE)
+    assert rumour.deltas_for(7, "c", summary(DELTAS[0].revision)) == tuple(DELTAS[1:3])
+    assert not rumour.should_send_deltas(4 + RESEND_US, "b", summary(ONE)) and rumour.should_send_deltas(
+        5 + RESEND_US, "b", summary(ONE)
     )
-    rumour.set_head(told(DELTAS[3].revision))
-    assert rumour.should_send_deltas(8, "b", told(ONE))
+    rumour.set_head(summary(DELTAS[3].revision))
+    assert rumour.should_send_deltas(8, "b", summary(ONE))
 
 
-def members(of=30):
+def members_at(number=30):
     part = Members("a", 1, ("a", "b", "c"), random.Random(1))
-    part.revision_gossip = RevisionGossip(history(of).deltas_after)
-    part.revision_gossip.set_head(told(DELTAS[of - 1].revision if of else ONE))
+    part.revision_gossip = RevisionGossip(history_of(number).deltas_after)
+    part.revision_gossip.set_head(summary(DELTAS[number - 1].revision if number else ONE))
     part.begin(0)
     return part
 
 
-def words(out):
+def messages(out):
     return [each.message for each in out if isinstance(each, SendGossip)]
 
 
-def of_b(kind, number, seq, of=None):
+def message_from_b(kind, number, seq, of=None):
     plain = kind, "b", 1, 0, seq, number
     return GossipReceived(
-        GossipWithRevision(*plain, "", -1, (), "", *told(of)) if of else GossipMessage(*plain)
+        GossipWithRevision(*plain, "", -1, (), "", *summary(of)) if of else GossipMessage(*plain)
     )
 
 
-def test_an_answer_tells_a_head_where_the_question_did_and_brings_what_the_asker_lacks():
-    part = members(2)
-    assert revision_summary_of(words(part.handle(1, of_b(GossipKind.PING, 7, 1)))[0]) is None
-    (same,) = words(part.handle(2, of_b(GossipKind.PING, 8, 2, DELTAS[1].revision)))
-    (newer,) = words(part.handle(2, of_b(GossipKind.PING, 8, 3, DELTAS[5].revision)))
-    assert not same.deltas and not newer.deltas and revision_summary_of(newer) == told(DELTAS[1].revision)
-    (older,) = words(part.handle(3, of_b(GossipKind.PING, 9, 4, ONE)))
+def test_an_answer_announces_if_the_request_did_and_carries_missing_deltas():
+    part = members_at(2)
+    assert revision_summary_of(messages(part.handle(1, message_from_b(GossipKind.PING, 7, 1)))[0]) is None
+    (same,) = messages(part.handle(2, message_from_b(GossipKind.PING, 8, 2, DELTAS[1].revision)))
+    (newer,) = messages(part.handle(2, message_from_b(GossipKind.PING, 8, 3, DELTAS[5].revision)))
+    assert not same.deltas and not newer.deltas and revision_summary_of(newer) == summary(DELTAS[1].revision)
+    (older,) = messages(part.handle(3, message_from_b(GossipKind.PING, 9, 4, ONE)))
     assert older.probe_number == 9 and older.deltas == tuple(DELTAS[:2])
     # an answer that announces an older revision is answered once, with deltas and no updates
-    part.revision_gossip.set_head(told(DELTAS[1].revision)), part.revision_gossip._sent_at.clear()
-    (more,) = words(part.handle(4, of_b(GossipKind.ACK, 99, 5, ONE)))
+    part.revision_gossip.set_head(summary(DELTAS[1].revision)), part.revision_gossip._sent_at.clear()
+    (more,) = messages(part.handle(4, message_from_b(GossipKind.ACK, 99, 5, ONE)))
     assert (more.kind, more.probe_number, more.updates) == (GossipKind.ACK, 0, ()) and more.deltas == tuple(
         DELTAS[:2]
     )
-    assert words(part.handle(5, of_b(GossipKind.ACK, 99, 6, ONE))) == []
-    assert words(part.handle(5 + RESEND_US, of_b(GossipKind.ACK, 0, 7, DELTAS[1].revision))) == []
+    assert messages(part.handle(5, message_from_b(GossipKind.ACK, 99, 6, ONE))) == []
+    assert (
+        messages(part.handle(5 + RESEND_US, message_from_b(GossipKind.ACK, 0, 7, DELTAS[1].revision))) == []
+    )
 
 
-def test_the_longest_word_is_one_datagram_and_names_of_64_letters_leave_room_for_all_that_it_brings():
+def test_the_longest_message_fits_one_datagram_with_all_its_deltas():
     names = {"n" * 63 + str(n): ("h" * 53, 60_000 + n) for n in range(9)}
     world = World(1)
     roster = MembershipTransport(
@@ -180,64 +184,70 @@
 # What the receiver does with it
 
 
-def test_what_a_word_brings_is_checked_written_and_in_force():
-    part = settled()
-    out = part.handle(1, RevisionAnnounced("a", *told(DELTAS[2].revision), tuple(DELTAS[:3])))
+def test_announced_deltas_are_validated_written_and_activated():
+    part = settled_replica()
+    out = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[2].revision), tuple(DELTAS[:3])))
     (keep,) = [each for each in out if isinstance(each, WriteRevision)]
-    assert keep.deltas == tuple(DELTAS[:3]) and not asks(out)
+    assert keep.deltas == tuple(DELTAS[:3]) and not pull_requests(out)
     part.handle(2, WriteFinished(keep.number))
     assert (
         part.head == DELTAS[2].revision
         and part.pull_counts["brought"] == 1
         and part.pull_counts["asked"] == 0
     )
-    assert part.history.deltas_after(told(ONE), 10**6) == tuple(DELTAS[:3])
+    assert part.history.deltas_after(summary(ONE), 10**6) == tuple(DELTAS[:3])
 
 
-def test_what_a_word_brings_in_part_late_or_after_a_gap_is_no_fault_and_the_rest_is_asked_for():
-    part = settled()
-    out = part.handle(1, RevisionAnnounced("a", *told(DELTAS[9].revision), tuple(DELTAS[:2])))
+def test_partial_late_or_gapped_deltas_are_no_fault_and_the_rest_is_pulled():
+    part = settled_replica()
+    out = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[:2])))
     (keep,) = [each for each in out if isinstance(each, WriteRevision)]
-    assert (
-        part.handle(2, RevisionAnnounced("c", *told(DELTAS[9].revision), tuple(DELTAS[:4]))) == []
-    )  # a write is pending
-    (ask,) = asks(part.handle(3, WriteFinished(keep.number)))
+    # a write is pending
+    assert part.handle(2, RevisionAnnounced("c", *summary(DELTAS[9].revision), tuple(DELTAS[:4]))) == []
+    (ask,) = pull_requests(part.handle(3, WriteFinished(keep.number)))
     assert ask.source == "c" and ask.request.number == DELTAS[1].revision.number
-    late = settled(stored=Stored(DELTAS[4].revision, DOCUMENTS[5]))
-    (ask,) = asks(late.handle(1, RevisionAnnounced("a", *told(DELTAS[9].revision), tuple(DELTAS[:2]))))
-    gap = settled()
-    (ask,) = asks(gap.handle(1, RevisionAnnounced("a", *told(DELTAS[9].revision), tuple(DELTAS[3:5]))))
+    late = settled_replica(stored=Stored(DELTAS[4].revision, DOCUMENTS[5]))
+    (ask,) = pull_requests(
+        late.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[:2])))
+    )
+    gap = settled_replica()
+    (ask,) = pull_requests(
+        gap.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[3:5])))
+    )
     for each in (part, late, gap):
         assert not any(each.dropped.values())
 
 
-def test_a_word_that_wants_an_answer_is_waited_for_once_and_then_asked_about():
-    part = settled()
-    word = RevisionAnnounced("a", *told(DELTAS[0].revision), wants_answer=True)
-    assert asks(part.handle(1, word)) == []
+def test_a_pull_waits_once_for_the_deltas_of_an_announcement():
+    part = settled_replica()
+    word = RevisionAnnounced("a", *summary(DELTAS[0].revision), wants_answer=True)
+    assert pull_requests(part.handle(1, word)) == []
     for at in range(2, 2 + pulls.DELTA_WAIT_US, 10 * MS):  # further messages whose answers are lost
         assert (
-            asks(part.handle(at, RevisionAnnounced("c", *told(DELTAS[0].revision), wants_answer=True))) == []
+            pull_requests(
+                part.handle(at, RevisionAnnounced("c", *summary(DELTAS[0].revision), wants_answer=True))
+            )
+            == []
         )
     due = 1 + pulls.DELTA_WAIT_US
     assert part._timer_at == due
-    (ask,) = asks(part.handle(due, TimerFired(due)))
+    (ask,) = pull_requests(part.handle(due, TimerFired(due)))
     assert ask.source == "c"
 
 
-def test_a_revision_too_long_for_a_word_is_asked_for_as_soon_as_the_word_says_so():
-    part = settled()
-    part.handle(1, RevisionAnnounced("a", *told(DELTAS[0].revision), wants_answer=True))
-    (ask,) = asks(part.handle(2, RevisionAnnounced("a", *told(DELTAS[0].revision))))
+def test_a_revision_too_long_for_a_message_is_pulled_at_once():
+    part = settled_replica()
+    part.handle(1, RevisionAnnounced("a", *summary(DELTAS[0].revision), wants_answer=True))
+    (ask,) = pull_requests(part.handle(2, RevisionAnnounced("a", *summary(DELTAS[0].revision))))
     assert ask.source == "a"
 
 
-def test_only_words_that_want_an_answer_tell_a_head_of_their_own_accord():
+def test_only_pings_announce_a_revision_unprompted():
     """A relayed answer with a revision would look like one without deltas, and trigger a request."""
-    part = members()
+    part = members_at()
     for number in range(8):
-        for word in words(
-            part.handle(number * REANNOUNCE_US, of_b(GossipKind.PING_REQUEST, number, number + 1))
+        for word in messages(
+            part.handle(number * REANNOUNCE_US, message_from_b(GossipKind.PING_REQUEST, number, number + 1))
         ):
             assert revision_summary_of(word) is None or word.kind == GossipKind.PING
 
@@ -246,16 +256,16 @@
     ("patch", "after", "why"),
     [(b'{"bad":1}', b"{}", "refused"), (b'{"n":7}', b"{}", "bad digest")],
 )
-def test_a_bad_revision_is_said_and_not_checked_again_with_every_word(patch, after, why):
+def test_an_invalid_revision_is_logged_and_not_validated_again(patch, after, why):
     looks = []
-    part = settled(check=lambda *what: looks.append(what) or check(*what))
+    part = settled_replica(check=lambda *what: looks.append(what) or check(*what))
     bad = (Delta(head(1, 2, after), patch),)
-    out = part.handle(1, RevisionAnnounced("a", *told(bad[0].revision), bad))
+    out = part.handle(1, RevisionAnnounced("a", *summary(bad[0].revision), bad))
     assert (
         part.dropped[why] == 1 and any(isinstance(each, LogEvent) for each in out) and part.document == BEGUN
     )
     for at in range(2, 50):
-        out = part.handle(at, RevisionAnnounced("ac"[at % 2], *told(bad[0].revision), bad))
+        out = part.handle(at, RevisionAnnounced("ac"[at % 2], *summary(bad[0].revision), bad))
         assert not any(isinstance(each, (WriteRevision, LogEvent)) for each in out)
     assert len(looks) == 1 and part.head == ONE
 
@@ -269,8 +279,8 @@
         (Delta(RevisionId(1 << 50, 2, "0" * 16), b"{}"),),
     ],
 )
-def test_revisions_that_can_be_none_are_counted_and_not_in_force(deltas):
-    part = settled()
+def test_malformed_deltas_are_counted_and_not_activated(deltas):
+    part = settled_replica()
     out = part.handle(1, RevisionAnnounced("a", 1, 9, 7, deltas))
     kept = [each.head for each in out if isinstance(each, WriteRevision)]
     assert part.dropped["bad reply"] == 1 and kept in ([], [DELTAS[0].revision])
@@ -284,34 +294,34 @@
     net.run(6)
     net.take_over("g0")
     net.run(6)
-    asked, took = net.pulled, []
+    asked, durations = net.pulled, []
     for number in range(patches):
         begun = net.now
         net.publish(Publish(number, b'{"n":"%0*d"}' % (size, number)))
         net.run(7.85)
         assert net.same() and not net.faults()
-        took.append(max(each[-1][0] for each in net.force.values()) - begun)
-    return net, (net.pulled - asked) / patches / count, max(took) / SECOND
+        durations.append(max(each[-1][0] for each in net.force.values()) - begun)
+    return net, (net.pulled - asked) / patches / count, max(durations) / SECOND
 
 
-def test_small_changes_come_with_words_and_hardly_one_is_asked_for():
+def test_small_changes_arrive_as_gossip_and_are_hardly_pulled():
     net, asked, took = play()
     assert asked < 0.05 and took < 4
     brought = sum(part.pull_counts["brought"] for part in net.configuration.values())
     assert brought >= 0.95 * 20 * 29
 
 
-def test_a_long_change_is_asked_for_and_comes_as_soon():
+def test_a_long_change_is_pulled_and_arrives_as_soon():
     _, asked, took = play(patches=8, size=5000)
     assert 0.9 < asked < 1.1 and took < 4
 
 
-def test_with_a_fifth_of_all_datagrams_lost_changes_come_in_time():
+def test_with_a_fifth_of_all_datagrams_lost_changes_arrive_in_time():
     _, asked, took = play(patches=8, loss=0.2)
     assert asked < 0.6 and took < 6
 
 
-def test_a_head_that_is_told_by_a_probe_in_a_while_only_reaches_a_gateway_that_missed_all_others(monkeypatch):
+def test_periodic_announcements_alone_reach_every_gateway(monkeypatch):
     monkeypatch.setattr(revision_gossip, "ANNOUNCEMENTS", 0)
     _, _, took = play(patches=4)
     assert took < 7.85
@@ -320,7 +330,7 @@
 # Mutations of the code: each one breaks one of the tests above
 
 
-def test_a_refused_revision_costs_no_words_beyond_those_of_every_second(monkeypatch):
+def test_a_rejected_revision_costs_at_most_one_message_a_second(monkeypatch):
     """One gateway of another program version rejects a revision that all others have."""
     net = Spread(8, 1, check=check)
     net.run(6)
@@ -344,7 +354,7 @@
     assert more - calm <= 7 * 11 and odd.dropped["refused"] < 6
 
 
-def test_an_order_to_take_over_comes_with_words_too():
+def test_a_take_over_arrives_as_gossip():
     net, asked, _ = play(count=8, patches=1)
     net.order("g3", TakeOver(0))
     net.run(6)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -40,11 +40,11 @@
 
 SECOND = 1_000_000
 # seconds after the last fault in which all running gateways must have the same revision active: the target
-TARGET = 18
+TARGET_SECONDS = 18
 
 
 @pytest.fixture
-def still(monkeypatch):
+def no_backoff(monkeypatch):
     monkeypatch.setattr(pulls, "BACKOFF_US", 0)
     monkeypatch.setattr(pulls, "REJECTED_BACKOFF_US", 0)
 
@@ -54,7 +54,9 @@
 
 
 @pytest.mark.parametrize(("publishes", "overs", "deaths", "most"), WALKS)
-def test_in_every_order_no_head_falls_and_no_number_is_two_documents(still, publishes, overs, deaths, most):
+def test_in_every_order_heads_never_regress_and_numbers_are_unique(
+    no_backoff, publishes, overs, deaths, most
+):
     states, fault = walk(Model(fleet(), publishes, overs, deaths, 1), most)
     assert not fault and states > 1000
 
@@ -65,18 +67,18 @@
     return [("publish", "a", patch), ("kept", "a", True), *word]
 
 
-def told_early(monkeypatch):
-    keep = Revisions._write
+def announces_before_the_write(monkeypatch):
+    write = Revisions._write
 
     def early(self, *args):
-        keep(self, *args)
+        write(self, *args)
         self._activate(0, self._pending_write)
 
     monkeypatch.setattr(Revisions, "_write", early)
     return [("publish", "a", PATCHES[0]), ("death", "a", 0)]
 
 
-def never_resigns(monkeypatch):
+def never_steps_down(monkeypatch):
     monkeypatch.setattr(publisher.Publisher, "step_down", lambda self, term: False)
     return [("over", "b"), ("kept", "b", True), ("word", "a", "b"), ("reply", "a"), ("kept", "a", True),
             ("publish", "a", PATCHES[0]), ("kept", "a", True)]  # fmt: skip
@@ -88,7 +90,7 @@
     return [("over", "b"), ("kept", "b", True), ("publish", "a", PATCHES[0]), ("kept", "a", True)]
 
 
-def does_not_check(monkeypatch):
+def does_not_validate(monkeypatch):
     monkeypatch.setattr(history, "validate_patch", lambda _, document, patch: check(document, patch))
     return pulled_by_c(PATCHES[2])
 
@@ -98,28 +100,28 @@
     return pulled_by_c(PATCHES[3])
 
 
-def takes_over_alone(monkeypatch):
+def takes_over_without_waiting(monkeypatch):
     monkeypatch.setattr(pulls.StartupPhase, "refusal", lambda self, head: "")
     lost = [("death", "b", -1), ("settle", "b"), ("over", "b"), ("kept", "b", True)]
     return [*lost, *(("publish", "b", PATCHES[4]), ("kept", "b", True)), *pulled_by_c(PATCHES[0])]
 
 
 MUTATIONS = [
-    told_early,
-    never_resigns,
+    announces_before_the_write,
+    never_steps_down,
     takes_over_in_the_old_term,
-    takes_over_alone,
-    does_not_check,
+    takes_over_without_waiting,
+    does_not_validate,
     does_not_compare_digests,
 ]
 
 
-def follow(way):
+def play_steps(steps):
     """Play the steps as far as they are possible; return the fault."""
     model = Model(fleet(), 2, 1, 1, 2)
     for part in model.parts.values():
         part._startup.is_over = True
-    for kind, name, *more in way:
+    for kind, name, *more in steps:
         step = kind, name, *more
         if kind == "word":
             step = (*step, model.parts[more[0]].head)
@@ -131,14 +133,14 @@
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS)
-def test_what_is_taken_out_is_missed(still, monkeypatch, mutation):
+def test_disabling_a_safeguard_is_detected(no_backoff, monkeypatch, mutation):
     with monkeypatch.context() as patched:
-        way = mutation(patched)
-        assert follow(way)
-    assert not follow(way)
+        steps = mutation(patched)
+        assert play_steps(steps)
+    assert not play_steps(steps)
 
 
-def test_a_fork_is_told_put_over_by_neither_and_healed_by_the_next_revision(still):
+def test_a_fork_is_reported_and_resolved_by_the_next_revision(no_backoff):
     model = Model(fleet(fork=True), 2, 1)
     assert model.fault  # two documents of 1.1, from the start
     model.fault = ""
@@ -161,7 +163,7 @@
 
 # SEEDS=500 runs more of them
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SEEDS", "40"))))
-def test_after_any_weather_all_have_one_head_within_the_target(seed):
+def test_after_random_faults_all_have_one_head_within_the_target(seed):
     net = Spread(7, seed, 2)
     weather(net, seed, 25)
     net.run(25.1)
@@ -170,7 +172,7 @@
             net.start(name)
         net.go_on(name)
     net.cuts.clear()
-    net.run(TARGET)
+    net.run(TARGET_SECONDS)
     assert net.same() and not net.faults()
     assert max(each[-1][1].number for each in net.force.values()) > 3
 
@@ -178,22 +180,22 @@
 # Invalid input, and the transport
 
 
-def settled(others=2, stored=None):
+def settled_replica(others=2, stored=None):
     part = Revisions(stored or fleet()["b"], check, random.Random(1), others)
     part.begin(0)
     part._startup.is_over = True
     return part
 
 
-def asks(commands):
+def pull_requests(commands):
     return [each for each in commands if isinstance(each, PullRevisions)]
 
 
 @pytest.mark.parametrize(
     "told", [(-1, 0, 0), (1, -5, 0), (MAX_NUMBER + 1, 1, 0), (1, 1 << 90, 0), (2, 2, 1 << 32)]
 )
-def test_a_head_that_cannot_be_is_counted_and_nothing_is_asked(told):
-    part = settled()
+def test_an_invalid_announcement_is_counted_and_pulls_nothing(told):
+    part = settled_replica()
     assert part.handle(1, RevisionAnnounced("a", *told)) == [] and part.dropped["bad head"] == 1
     assert part.publisher.highest_term == 1
 
@@ -218,68 +220,70 @@
 
 
 @pytest.mark.parametrize(("why", "reply"), BAD)
-def test_a_reply_that_does_not_fit_is_counted_said_and_not_in_force(why, reply):
-    part = settled()
-    (ask,) = asks(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
-    out = part.handle(2, PullSucceeded(ask.call, reply))
+def test_an_invalid_reply_is_counted_logged_and_not_activated(why, reply):
+    part = settled_replica()
+    (pull,) = pull_requests(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
+    out = part.handle(2, PullSucceeded(pull.call, reply))
     assert part.dropped[why] == 1 and part.document == BEGUN
     assert any(isinstance(each, LogEvent) for each in out) and not any(
         isinstance(each, WriteRevision) for each in out
     )
-    assert part.handle(3, PullSucceeded(ask.call, reply)) == [] and part.dropped["late reply"] == 1
+    assert part.handle(3, PullSucceeded(pull.call, reply)) == [] and part.dropped["late reply"] == 1
     # after a backoff the next sender is asked
     wait = 5 * SECOND
-    (ask,) = asks(part.handle(wait, RevisionAnnounced("c", 1, 2, 7)))
-    good = (
+    (pull,) = pull_requests(part.handle(wait, RevisionAnnounced("c", 1, 2, 7)))
+    valid = (
         RevisionReply(NEXT, (), b'{"n":1}', 0, 7)
-        if ask.request.whole
+        if pull.request.whole
         else RevisionReply(NEXT, (Delta(NEXT, b'{"n":1}'),))
     )
-    (keep,) = [
-        each for each in part.handle(wait, PullSucceeded(ask.call, good)) if isinstance(each, WriteRevision)
+    (write,) = [
+        each for each in part.handle(wait, PullSucceeded(pull.call, valid)) if isinstance(each, WriteRevision)
     ]
-    part.handle(wait, WriteFinished(keep.number))
+    part.handle(wait, WriteFinished(write.number))
     assert part.head == NEXT and part.rejection_reason == ""
 
 
-def test_a_lost_answer_is_not_the_last_and_questions_that_are_none_are_counted():
-    part = settled()
-    (ask,) = asks(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
-    part.handle(ask.deadline, TimerFired(ask.deadline))
-    assert asks(part.handle(ask.deadline + SECOND, RevisionAnnounced("c", 1, 2, 7)))[0].source == "c"
-    for bad in (
+def test_a_lost_reply_is_retried_and_invalid_requests_are_counted():
+    part = settled_replica()
+    (pull,) = pull_requests(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
+    part.handle(pull.deadline, TimerFired(pull.deadline))
+    assert (
+        pull_requests(part.handle(pull.deadline + SECOND, RevisionAnnounced("c", 1, 2, 7)))[0].source == "c"
+    )
+    for invalid in (
         RevisionRequest(-1, 0, "0" * 16),
         RevisionRequest(1, 1, "?" * 16),
         RevisionRequest(1, 0, "0" * 16, -1),
     ):
-        assert part.answer(bad) is None
+        assert part.answer(invalid) is None
     assert part.dropped["bad question"] == 3
 
 
-def test_a_gateway_that_slept_gets_deltas_or_where_these_are_gone_the_document_in_pieces(monkeypatch):
+def test_a_gateway_that_was_away_gets_deltas_or_the_document_in_pages(monkeypatch):
     monkeypatch.setattr(history, "MAX_HISTORY_REVISIONS", 64)
     long = check(b'{"n":0}', json.dumps({f"{n:05}": "x" * 20 for n in range(4000)}).encode())[0]
     net = Spread(3, 1, document=long)
     net.run(6)
     net.order("g0", TakeOver(0))
     net.run(3)
-    for sleeps, pages in ((30, 0), (100, 1)):
+    for missed, pages in ((30, 0), (100, 1)):
         net.kill("g2")
-        for number in range(sleeps):
+        for number in range(missed):
             net.order("g0", Publish(number, b'{"n":%d}' % number))
         net.run(3)
         net.start("g2")
         before = sum(part.pull_counts["pages"] for part in net.configuration.values())
         net.run(3)
         assert net.same() and not net.faults()
-        told = sum(part.pull_counts["pages"] for part in net.configuration.values()) - before
-        assert (told > 1) == bool(pages)
+        page_count = sum(part.pull_counts["pages"] for part in net.configuration.values()) - before
+        assert (page_count > 1) == bool(pages)
 
 
-def test_orders_are_refused_for_what_they_are():
-    part = settled()
-    (told,) = part.handle(1, Publish(1, b'{"n":1}'))
-    assert told == OrderAnswered(1, False, "this gateway is not the publisher", part.head)
+def test_orders_are_refused_with_the_reason():
+    part = settled_replica()
+    (answer,) = part.handle(1, Publish(1, b'{"n":1}'))
+    assert answer == OrderAnswered(1, False, "this gateway is not the publisher", part.head)
     part.handle(1, RevisionAnnounced("a", 1, 2, 7))
     assert "later revision" in part.handle(1, TakeOver(2))[0].reason
     new = Revisions(fleet()["a"], check, random.Random(1), 2)
@@ -287,45 +291,47 @@
     assert "just started" in new.handle(1, Publish(1, EMPTY_PATCH))[0].reason
 
 
-def gateway(world, name, part, members="abc"):
+def connect(world, name, part, members="abc"):
     """Connect `part` to the two transports of a gateway; return its event handler and membership."""
-    node, places = world.node(name), {each: (each, 7946) for each in members}
-    lines = PeerTransport(node, name, 1, places, ["x" * 32], 30, None, (name, 7946))
-    met = MembershipTransport(node, name, 1, dict(places), ["x" * 32], (name, 7946), 1, lambda *_, **__: None)
-    lines.answer_gossip = met.handle_request
+    node, addresses = world.node(name), {each: (each, 7946) for each in members}
+    transport = PeerTransport(node, name, 1, addresses, ["x" * 32], 30, None, (name, 7946))
+    membership = MembershipTransport(
+        node, name, 1, dict(addresses), ["x" * 32], (name, 7946), 1, lambda *_, **__: None
+    )
+    transport.answer_gossip = membership.handle_request
 
-    def take(event):
-        do(part.handle(node.now(), event))
+    def handle(event):
+        execute(part.handle(node.now(), event))
 
-    def do(commands):
+    def execute(commands):
         for each in commands:
             if isinstance(each, PullRevisions):
-                place = ("a", 7946) if isinstance(each.source, int) else each.source
-                lines.request_revisions(place, each, take)
+                target = ("a", 7946) if isinstance(each.source, int) else each.source
+                transport.request_revisions(target, each, handle)
             elif isinstance(each, WriteRevision):
-                node.call_soon(take, WriteFinished(each.number))
+                node.call_soon(handle, WriteFinished(each.number))
             elif isinstance(each, ActiveRevision):
-                met.members.revision_gossip.set_head(
+                membership.members.revision_gossip.set_head(
                     (each.head.term, each.head.number, each.head.digest_prefix)
                 )
             elif isinstance(each, ScheduleTimer):
-                node.call_at(each.at, take, TimerFired(each.at))
+                node.call_at(each.at, handle, TimerFired(each.at))
 
     if part is not None:
-        lines.answer_revisions, met.on_revision_announced = part.answer, take
-        met.members.revision_gossip = RevisionGossip(part.history.deltas_after)
-        do(part.begin(node.now()))
-    return take, met
+        transport.answer_revisions, membership.on_revision_announced = part.answer, handle
+        membership.members.revision_gossip = RevisionGossip(part.history.deltas_after)
+        execute(part.begin(node.now()))
+    return handle, membership
 
 
-def test_over_lines_and_datagrams_also_where_lists_differ_and_from_abroad_and_off_is_off():
+def test_revisions_cross_transports_between_differing_lists_and_regions():
     world, parts = World(1), {}
     for name, members, far in (("a", "abc", 0), ("b", "abcd", 0), ("z", "z", 1)):
         parts[name] = Revisions(
             fleet()[name if name == "a" else "b"], check, random.Random(1), len(members) - 1, far
         )
-        parts[name, 0], parts[name, 1] = gateway(world, name, parts[name], members)
-    _, off = gateway(world, "c", None)
+        parts[name, 0], parts[name, 1] = connect(world, name, parts[name], members)
+    _, off = connect(world, "c", None)
     world.run(world.time + 6 * SECOND)
     parts["a", 0](Publish(1, b'{"n":1}'))
     world.run(world.time + 8 * SECOND)
@@ -335,24 +341,24 @@
     assert "revision" not in parts["a", 1].state()["members"]["c"]
 
 
-def test_words_without_a_head_are_the_bytes_of_before_and_both_kinds_are_read_by_both():
-    told = GossipKind.PING, "a", 1, 0, 1, 1
-    plain, headed = GossipMessage(*told), GossipWithRevision(*told, "", -1, (), "", 2, 3, 4)
+def test_messages_with_and_without_revision_decode_as_each_other():
+    fields = GossipKind.PING, "a", 1, 0, 1, 1
+    plain, with_revision = GossipMessage(*fields), GossipWithRevision(*fields, "", -1, (), "", 2, 3, 4)
     encode, decode = msgspec.msgpack.encode, msgspec.msgpack.decode
     assert (
         encode(plain) == encode(list(msgspec.structs.astuple(plain)))
-        and len(encode(headed)) == len(encode(plain)) + 3
+        and len(encode(with_revision)) == len(encode(plain)) + 3
     )
     assert (
         decode(encode(plain), type=GossipWithRevision).term == -1
-        and decode(encode(headed), type=GossipMessage) == plain
+        and decode(encode(with_revision), type=GossipMessage) == plain
     )
 
 
-def test_the_scale_run_gives_its_figures_and_refuses_a_fleet_without_regions():
-    told = {row.figure: row.value for row in rows((9,), (1,))}
+def test_the_scale_run_returns_its_figures_and_rejects_a_fleet_without_regions():
+    figures = {row.figure: row.value for row in rows((9,), (1,))}
     names = "spread spread_half pulls heads bytes change core burst joined"
-    assert set(told) == {f"configuration.{name}" for name in names.split()}
-    assert max(told[f"configuration.{name}"] for name in ("spread", "burst", "joined")) < TARGET
+    assert set(figures) == {f"configuration.{name}" for name in names.split()}
+    assert max(figures[f"configuration.{name}"] for name in ("spread", "burst", "joined")) < TARGET_SECONDS
     with pytest.raises(ValueError, match="5 gateways"):
         rows((5,), (1,))
