--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -117,17 +117,17 @@
             self.stage.start_gateway(number)
         self.stage.wait_for_gateways()
 
-    def ask(self, *args):
+    def run_command(self, *args):
         return CliRunner().invoke(main, ["members", *args], env={"MINTMAST_ADMIN_TOKEN": "operators"})
 
-    def told(self, number):
-        reports = json.loads(self.ask("--admin", self.admins[number], "--json").stdout)
+    def liveness_at(self, number):
+        reports = json.loads(self.run_command("--admin", self.admins[number], "--json").stdout)
         return {name: each["stands"] for name, each in reports[0]["members"].items()} if reports else {}
 
     def until(self, number, **stands):
         end = time.monotonic() + TIMEOUT_SECONDS
-        while {name: self.told(number).get(name) for name in stands} != stands:
-            assert time.monotonic() < end, (self.told(number), stands)
+        while {name: self.liveness_at(number).get(name) for name in stands} != stands:
+            assert time.monotonic() < end, (self.liveness_at(number), stands)
             self.stage.loop.run(self.stage.now() + 100_000)
 
     def signal(self, number, what):
@@ -162,7 +162,7 @@
     region.stage.kill_gateway(1)
     region.until(0, gw1="refused")
     region.until(2, gw0="heard", gw1="refused")
-    shown = region.ask("--admin", region.admins[0], "--admin", region.admins[2])
+    shown = region.run_command("--admin", region.admins[0], "--admin", region.admins[2])
     assert "gw1: refused" in shown.stdout
     host, _, port = region.admins[1].rpartition(":")
     region.stage.settings["admin"] = {"host": host, "port": int(port), "token": "operators"}
@@ -172,10 +172,10 @@
 
 
 def test_forget_requires_confirmation(region):
-    refused = region.ask("forget", "gw2", "--admin", region.admins[0])
+    refused = region.run_command("forget", "gw2", "--admin", region.admins[0])
     assert refused.exit_code == 2 and "charged twice" in refused.stderr
-    assert region.ask("forget", "nobody", "--yes", "--admin", region.admins[0]).exit_code == 1
-    assert region.ask("--admin", "nowhere").exit_code == 2
+    assert region.run_command("forget", "nobody", "--yes", "--admin", region.admins[0]).exit_code == 1
+    assert region.run_command("--admin", "nowhere").exit_code == 2
 
 
 def test_an_orderly_shutdown_is_announced(region):
--- a/tests/test_revision_gossip.py
+++ b/tests/test_revision_gossip.py
@@ -65,63 +65,63 @@
     )
 
 
-def pull_requests(out):
-    return [each for each in out if isinstance(each, PullRevisions)]
+def pull_requests(commands):
+    return [each for each in commands if isinstance(each, PullRevisions)]
 
 
 # What a message carries
 
 
 def test_deltas_after_a_revision_fit_the_limit_and_need_its_digest():
-    kept = history_of(30)
-    assert kept.deltas_after(summary(ONE), 10**6) == tuple(DELTAS[:16])
-    assert kept.deltas_after(summary(DELTAS[27].revision), 10**6) == tuple(DELTAS[28:30])
-    assert kept.deltas_after(summary(DELTAS[29].revision), 10**6) == ()
-    few = kept.deltas_after(summary(DELTAS[3].revision), MAX_DELTA_BYTES)
-    assert few == tuple(DELTAS[4 : 4 + len(few)]) and 5 < len(few) < 26
-    for no in (
+    history = history_of(30)
+    assert history.deltas_after(summary(ONE), 10**6) == tuple(DELTAS[:16])
+    assert history.deltas_after(summary(DELTAS[27].revision), 10**6) == tuple(DELTAS[28:30])
+    assert history.deltas_after(summary(DELTAS[29].revision), 10**6) == ()
+    limited = history.deltas_after(summary(DELTAS[3].revision), MAX_DELTA_BYTES)
+    assert limited == tuple(DELTAS[4 : 4 + len(limited)]) and 5 < len(limited) < 26
+    for unknown in (
         (1, 1, ONE.digest_prefix ^ 1),
         (1, 9, DELTAS[0].revision.digest_prefix),
         (1, 99, 0),
         (0, 9, 0),
         (2, 1, ONE.digest_prefix),
     ):
-        assert kept.deltas_after(no, 10**6) == ()
+        assert history.deltas_after(unknown, 10**6) == ()
     assert history_of(0).deltas_after(summary(ONE), 10**6) == ()
 
 
 def test_a_revision_is_announced_after_a_change_and_periodically():
-    rumour = RevisionGossip(lambda told, room: ())
-    rumour.set_head((1, 2, 3))
-    assert all(rumour.should_announce(n) for n in range(ANNOUNCEMENTS))
-    later = [rumour.should_announce(ANNOUNCEMENTS + n * REANNOUNCE_US // 5) for n in range(1, 51)]
+    gossip = RevisionGossip(lambda summary, max_bytes: ())
+    gossip.set_head((1, 2, 3))
+    assert all(gossip.should_announce(n) for n in range(ANNOUNCEMENTS))
+    later = [gossip.should_announce(ANNOUNCEMENTS + n * REANNOUNCE_US // 5) for n in range(1, 51)]
     assert (
         sum(later) == 10
-        and not rumour.should_send_deltas(0, "b", (1, 2, 9))
-        and not rumour.should_send_deltas(0, "b", (2, 0, 0))
+        and not gossip.should_send_deltas(0, "b", (1, 2, 9))
+        and not gossip.should_send_deltas(0, "b", (2, 0, 0))
     )
     now = 20 * REANNOUNCE_US
-    rumour.set_head((1, 2, 3))
-    assert rumour.should_announce(now) and not rumour.should_announce(now + 1)
-    rumour.set_head((1, 3, 3))
-    assert all(rumour.should_announce(now + 1) for _ in range(ANNOUNCEMENTS)) and not rumour.should_announce(
+    gossip.set_head((1, 2, 3))
+    assert gossip.should_announce(now) and not gossip.should_announce(now + 1)
+    gossip.set_head((1, 3, 3))
+    assert all(gossip.should_announce(now + 1) for _ in range(ANNOUNCEMENTS)) and not gossip.should_announce(
         now + 2
     )
 
 
 def test_deltas_are_resent_after_an_interval_or_the_next_change():
-    rumour = RevisionGossip(history_of(3).deltas_after)
-    rumour.set_head(summary(DELTAS[2].revision))
+    gossip = RevisionGossip(history_of(3).deltas_after)
+    gossip.set_head(summary(DELTAS[2].revision))
     assert (
-        rumour.deltas_for(5, "b", summary(ONE)) == tuple(DELTAS[:3])
-        and rumour.deltas_for(6, "b", summary(ONE)) == ()
+        gossip.deltas_for(5, "b", summary(ONE)) == tuple(DELTAS[:3])
+        and gossip.deltas_for(6, "b", summary(ONE)) == ()
     )
-    assert rumour.deltas_for(7, "c", summary(DELTAS[0].revision)) == tuple(DELTAS[1:3])
-    assert not rumour.should_send_deltas(4 + RESEND_US, "b", summary(ONE)) and rumour.should_send_deltas(
+    assert gossip.deltas_for(7, "c", summary(DELTAS[0].revision)) == tuple(DELTAS[1:3])
+    assert not gossip.should_send_deltas(4 + RESEND_US, "b", summary(ONE)) and gossip.should_send_deltas(
         5 + RESEND_US, "b", summary(ONE)
     )
-    rumour.set_head(summary(DELTAS[3].revision))
-    assert rumour.should_send_deltas(8, "b", summary(ONE))
+    gossip.set_head(summary(DELTAS[3].revision))
+    assert gossip.should_send_deltas(8, "b", summary(ONE))
 
 
 def members_at(number=30):
@@ -132,14 +132,16 @@
     return part
 
 
-def messages(out):
-    return [each.message for each in out if isinstance(each, SendGossip)]
+def messages(commands):
+    return [each.message for each in commands if isinstance(each, SendGossip)]
 
 
-def message_from_b(kind, number, seq, of=None):
-    plain = kind, "b", 1, 0, seq, number
+def message_from_b(kind, number, sequence, revision=None):
+    fields = kind, "b", 1, 0, sequence, number
     return GossipReceived(
-        GossipWithRevision(*plain, "", -1, (), "", *summary(of)) if of else GossipMessage(*plain)
+        GossipWithRevision(*fields, "", -1, (), "", *summary(revision))
+        if revision
+        else GossipMessage(*fields)
     )
 
 
@@ -166,16 +168,29 @@
 def test_the_longest_message_fits_one_datagram_with_all_its_deltas():
     names = {"n" * 63 + str(n): ("h" * 53, 60_000 + n) for n in range(9)}
     world = World(1)
-    roster = MembershipTransport(
+    transport = MembershipTransport(
         world.node("h" * 53), min(names), 1, names, ["x" * 32], ("h" * 53, 60_000), 1, lambda *_, **__: 0
     )
-    long = [Delta(RevisionId(MOST, MOST - n, "f" * 16), b"x" * (MAX_DELTA_BYTES // 2 - 40)) for n in range(2)]
-    news = tuple([each, 10**15, 9, 1, each, "h" * 53 + ":60000"] for each in names)
-    plain = GossipKind.ACK, min(names), 10**15, 9, 10**9, 10**9, max(names), 10**6, news, "h" * 53 + ":60000"
-    word = roster.decode(
-        roster.encode(GossipWithDigest(*plain, MOST, MOST, (1 << 32) - 1, tuple(long), (1 << 32) - 1))
+    deltas = [
+        Delta(RevisionId(MOST, MOST - n, "f" * 16), b"x" * (MAX_DELTA_BYTES // 2 - 40)) for n in range(2)
+    ]
+    updates = tuple([each, 10**15, 9, 1, each, "h" * 53 + ":60000"] for each in names)
+    fields = (
+        GossipKind.ACK,
+        min(names),
+        10**15,
+        9,
+        10**9,
+        10**9,
+        max(names),
+        10**6,
+        updates,
+        "h" * 53 + ":60000",
     )
-    assert word.deltas == tuple(long) and len(roster.encode(word)) <= MAX_DATAGRAM_BYTES
+    message = transport.decode(
+        transport.encode(GossipWithDigest(*fields, MOST, MOST, (1 << 32) - 1, tuple(deltas), (1 << 32) - 1))
+    )
+    assert message.deltas == tuple(deltas) and len(transport.encode(message)) <= MAX_DATAGRAM_BYTES
 
 
 MOST = 1 << 42
@@ -186,10 +201,10 @@
 
 def test_announced_deltas_are_validated_written_and_activated():
     part = settled_replica()
-    out = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[2].revision), tuple(DELTAS[:3])))
-    (keep,) = [each for each in out if isinstance(each, WriteRevision)]
-    assert keep.deltas == tuple(DELTAS[:3]) and not pull_requests(out)
-    part.handle(2, WriteFinished(keep.number))
+    commands = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[2].revision), tuple(DELTAS[:3])))
+    (write,) = [each for each in commands if isinstance(each, WriteRevision)]
+    assert write.deltas == tuple(DELTAS[:3]) and not pull_requests(commands)
+    part.handle(2, WriteFinished(write.number))
     assert (
         part.head == DELTAS[2].revision
         and part.pull_counts["brought"] == 1
@@ -200,18 +215,18 @@
 
 def test_partial_late_or_gapped_deltas_are_no_fault_and_the_rest_is_pulled():
     part = settled_replica()
-    out = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[:2])))
-    (keep,) = [each for each in out if isinstance(each, WriteRevision)]
+    commands = part.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[:2])))
+    (write,) = [each for each in commands if isinstance(each, WriteRevision)]
     # a write is pending
     assert part.handle(2, RevisionAnnounced("c", *summary(DELTAS[9].revision), tuple(DELTAS[:4]))) == []
-    (ask,) = pull_requests(part.handle(3, WriteFinished(keep.number)))
-    assert ask.source == "c" and ask.request.number == DELTAS[1].revision.number
+    (pull,) = pull_requests(part.handle(3, WriteFinished(write.number)))
+    assert pull.source == "c" and pull.request.number == DELTAS[1].revision.number
     late = settled_replica(stored=Stored(DELTAS[4].revision, DOCUMENTS[5]))
-    (ask,) = pull_requests(
+    (pull,) = pull_requests(
         late.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[:2])))
     )
     gap = settled_replica()
-    (ask,) = pull_requests(
+    (pull,) = pull_requests(
         gap.handle(1, RevisionAnnounced("a", *summary(DELTAS[9].revision), tuple(DELTAS[3:5])))
     )
     for each in (part, late, gap):
@@ -220,8 +235,8 @@
 
 def test_a_pull_waits_once_for_the_deltas_of_an_announcement():
     part = settled_replica()
-    word = RevisionAnnounced("a", *summary(DELTAS[0].revision), wants_answer=True)
-    assert pull_requests(part.handle(1, word)) == []
+    announcement = RevisionAnnounced("a", *summary(DELTAS[0].revision), wants_answer=True)
+    assert pull_requests(part.handle(1, announcement)) == []
     for at in range(2, 2 + pulls.DELTA_WAIT_US, 10 * MS):  # further messages whose answers are lost
         assert (
             pull_requests(
@@ -229,27 +244,27 @@
             )
             == []
         )
-    due = 1 + pulls.DELTA_WAIT_US
-    assert part._timer_at == due
-    (ask,) = pull_requests(part.handle(due, TimerFired(due)))
-    assert ask.source == "c"
+    pull_at = 1 + pulls.DELTA_WAIT_US
+    assert part._timer_at == pull_at
+    (pull,) = pull_requests(part.handle(pull_at, TimerFired(pull_at)))
+    assert pull.source == "c"
 
 
 def test_a_revision_too_long_for_a_message_is_pulled_at_once():
     part = settled_replica()
     part.handle(1, RevisionAnnounced("a", *summary(DELTAS[0].revision), wants_answer=True))
-    (ask,) = pull_requests(part.handle(2, RevisionAnnounced("a", *summary(DELTAS[0].revision))))
-    assert ask.source == "a"
+    (pull,) = pull_requests(part.handle(2, RevisionAnnounced("a", *summary(DELTAS[0].revision))))
+    assert pull.source == "a"
 
 
 def test_only_pings_announce_a_revision_unprompted():
     """A relayed answer with a revision would look like one without deltas, and trigger a request."""
     part = members_at()
     for number in range(8):
-        for word in messages(
+        for message in messages(
             part.handle(number * REANNOUNCE_US, message_from_b(GossipKind.PING_REQUEST, number, number + 1))
         ):
-            assert revision_summary_of(word) is None or word.kind == GossipKind.PING
+            assert revision_summary_of(message) is None or message.kind == GossipKind.PING
 
 
 @pytest.mark.parametrize(
@@ -257,17 +272,19 @@
     [(b'{"bad":1}', b"{}", "refused"), (b'{"n":7}', b"{}", "bad digest")],
 )
 def test_an_invalid_revision_is_logged_and_not_validated_again(patch, after, why):
-    looks = []
-    part = settled_replica(check=lambda *what: looks.append(what) or check(*what))
-    bad = (Delta(head(1, 2, after), patch),)
-    out = part.handle(1, RevisionAnnounced("a", *summary(bad[0].revision), bad))
+    validations = []
+    part = settled_replica(check=lambda *what: validations.append(what) or check(*what))
+    invalid = (Delta(head(1, 2, after), patch),)
+    commands = part.handle(1, RevisionAnnounced("a", *summary(invalid[0].revision), invalid))
     assert (
-        part.dropped[why] == 1 and any(isinstance(each, LogEvent) for each in out) and part.document == BEGUN
+        part.dropped[why] == 1
+        and any(isinstance(each, LogEvent) for each in commands)
+        and part.document == BEGUN
     )
     for at in range(2, 50):
-        out = part.handle(at, RevisionAnnounced("ac"[at % 2], *summary(bad[0].revision), bad))
-        assert not any(isinstance(each, (WriteRevision, LogEvent)) for each in out)
-    assert len(looks) == 1 and part.head == ONE
+        commands = part.handle(at, RevisionAnnounced("ac"[at % 2], *summary(invalid[0].revision), invalid))
+        assert not any(isinstance(each, (WriteRevision, LogEvent)) for each in commands)
+    assert len(validations) == 1 and part.head == ONE
 
 
 @pytest.mark.parametrize(
@@ -281,9 +298,9 @@
 )
 def test_malformed_deltas_are_counted_and_not_activated(deltas):
     part = settled_replica()
-    out = part.handle(1, RevisionAnnounced("a", 1, 9, 7, deltas))
-    kept = [each.head for each in out if isinstance(each, WriteRevision)]
-    assert part.dropped["bad reply"] == 1 and kept in ([], [DELTAS[0].revision])
+    commands = part.handle(1, RevisionAnnounced("a", 1, 9, 7, deltas))
+    written = [each.head for each in commands if isinstance(each, WriteRevision)]
+    assert part.dropped["bad reply"] == 1 and written in ([], [DELTAS[0].revision])
 
 
 # Over a fleet
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -63,8 +63,8 @@
 
 # each function disables one safeguard and returns the steps on which that must show
 def pulled_by_c(patch):
-    word = [("word", "c", "a"), ("reply", "c"), ("kept", "c", True)]
-    return [("publish", "a", patch), ("kept", "a", True), *word]
+    steps = [("word", "c", "a"), ("reply", "c"), ("kept", "c", True)]
+    return [("publish", "a", patch), ("kept", "a", True), *steps]
 
 
 def announces_before_the_write(monkeypatch):
@@ -192,11 +192,11 @@
 
 
 @pytest.mark.parametrize(
-    "told", [(-1, 0, 0), (1, -5, 0), (MAX_NUMBER + 1, 1, 0), (1, 1 << 90, 0), (2, 2, 1 << 32)]
+    "announcement", [(-1, 0, 0), (1, -5, 0), (MAX_NUMBER + 1, 1, 0), (1, 1 << 90, 0), (2, 2, 1 << 32)]
 )
-def test_an_invalid_announcement_is_counted_and_pulls_nothing(told):
+def test_an_invalid_announcement_is_counted_and_pulls_nothing(announcement):
     part = settled_replica()
-    assert part.handle(1, RevisionAnnounced("a", *told)) == [] and part.dropped["bad head"] == 1
+    assert part.handle(1, RevisionAnnounced("a", *announcement)) == [] and part.dropped["bad head"] == 1
     assert part.publisher.highest_term == 1
 
 
@@ -223,10 +223,10 @@
 def test_an_invalid_reply_is_counted_logged_and_not_activated(why, reply):
     part = settled_replica()
     (pull,) = pull_requests(part.handle(1, RevisionAnnounced("a", 1, 2, 7)))
-    out = part.handle(2, PullSucceeded(pull.call, reply))
+    commands = part.handle(2, PullSucceeded(pull.call, reply))
     assert part.dropped[why] == 1 and part.document == BEGUN
-    assert any(isinstance(each, LogEvent) for each in out) and not any(
-        isinstance(each, WriteRevision) for each in out
+    assert any(isinstance(each, LogEvent) for each in commands) and not any(
+        isinstance(each, WriteRevision) for each in commands
     )
     assert part.handle(3, PullSucceeded(pull.call, reply)) == [] and part.dropped["late reply"] == 1
     # after a backoff the next sender is asked
@@ -343,15 +343,18 @@
 
 def test_messages_with_and_without_revision_decode_as_each_other():
     fields = GossipKind.PING, "a", 1, 0, 1, 1
-    plain, with_revision = GossipMessage(*fields), GossipWithRevision(*fields, "", -1, (), "", 2, 3, 4)
+    without_revision, with_revision = (
+        GossipMessage(*fields),
+        GossipWithRevision(*fields, "", -1, (), "", 2, 3, 4),
+    )
     encode, decode = msgspec.msgpack.encode, msgspec.msgpack.decode
     assert (
-        encode(plain) == encode(list(msgspec.structs.astuple(plain)))
-        and len(encode(with_revision)) == len(encode(plain)) + 3
+        encode(without_revision) == encode(list(msgspec.structs.astuple(without_revision)))
+        and len(encode(with_revision)) == len(encode(without_revision)) + 3
     )
     assert (
-        decode(encode(plain), type=GossipWithRevision).term == -1
-        and decode(encode(with_revision), type=GossipMessage) == plain
+        decode(encode(without_revision), type=GossipWithRevision).term == -1
+        and decode(encode(with_revision), type=GossipMessage) == without_revision
     )
 
 
