--- a/mintmast/decisions/gateways/publisher.py
+++ b/mintmast/decisions/gateways/publisher.py
@@ -1,4 +1,4 @@
-"""Who may number revisions, and when an operator's order is refused."""
+"""Which gateway may number revisions, and when an operator's order is refused."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 Order = Publish | TakeOver
 
-# orders that wait: a burst of 200 changes in a second with room to spare
+# orders that may wait: a burst of 200 changes in a second, with room to spare
 MAX_PENDING_ORDERS = 1000
-# a take-over's term is the highest known and up to so many on: two who take over unknown to each other, in a
-# cut or after a file was lost, then have two terms, of which one wins, and not one number for two documents
+# a take-over draws its term at most this far above the highest known one. Two gateways that take over without
+# knowing of each other, in a partition or after a file was lost, get different terms, so that one of them
+# wins and no number stands for two documents
 TERM_STEP = 1000
 
 
 class Publisher:
-    """One gateway's part in numbering: the term in which it does, 0 for none, and the highest term known."""
+    """Numbering of revisions at one gateway: its own term as publisher, 0 for none, and the highest known."""
 
     def __init__(self, term: int, highest_term: int, rng: random.Random) -> None:
         self.term, self.highest_term = term, max(term, highest_term)
@@ -25,39 +26,40 @@
         self.orders: deque[Order] = deque()
 
     def observe_term(self, term: int) -> None:
-        """Book a term."""
+        """Record a term."""
         self.highest_term = max(self.highest_term, term)
 
     def step_down(self, term: int) -> bool:
-        """Give up numbering where this term is not below the own; tell whether that was so until now.
+        """Stop publishing if this term is not below this gateway's own; return whether it was the publisher.
 
-        Danger: a publisher whose file was put back, or two who took over in a cut, give one number twice.
+        A publisher with a restored file, or two that took over in a partition, would use one number twice.
         """
-        lost = 0 < self.term <= term
-        if lost:
+        was_publisher = 0 < self.term <= term
+        if was_publisher:
             self.term = 0
-        return lost
+        return was_publisher
 
     def refusal(self, order: Order, number: int, startup_refusal: str, is_behind: bool) -> str:
-        """Tell why an order cannot be taken at this number of the head in force, "" where it can.
+        """Return why an order is refused at this number of the active revision, "" if it is not.
 
-        `start` is what hinders since this gateway's start, `behind` tells that others have a later revision.
+        `startup_refusal` is the reason that holds during startup, if any. `is_behind` says that others have a
+        later revision.
         """
-        over = isinstance(order, TakeOver)
+        is_take_over = isinstance(order, TakeOver)
         if startup_refusal:
             return startup_refusal
-        if over and is_behind:
-            return "a later revision is known and not in force here yet"
-        if not over and not self.term:
+        if is_take_over and is_behind:
+            return "a later revision is known that is not active here yet"
+        if not is_take_over and not self.term:
             return "this gateway is not the publisher"
         return (
-            "numbers are used up"
-            if number >= MAX_NUMBER or (over and self.highest_term > MAX_NUMBER - TERM_STEP)
+            "no number is left"
+            if number >= MAX_NUMBER or (is_take_over and self.highest_term > MAX_NUMBER - TERM_STEP)
             else ""
         )
 
     def term_and_patch(self, order: Order) -> tuple[int, bytes]:
-        """Give term and patch of what an order makes."""
+        """Return the term and the patch of the revision that an order creates."""
         if isinstance(order, TakeOver):
             return self.highest_term + self._random.randint(1, TERM_STEP), EMPTY_PATCH
         return self.term, order.patch
--- a/mintmast/peers/membership_transport.py
+++ b/mintmast/peers/membership_transport.py
@@ -1,8 +1,8 @@
-"""Words of membership on the network: sealed datagrams, and HTTP to the peers' port as the second path.
+"""Transport of the membership protocol: authenticated datagrams, and HTTP on the peers' port as second path.
 
-A datagram is `MM`, a version, a seal of 16 bytes (HMAC-SHA256, cut) over what follows, and a word in
-MessagePack. The second path carries the same bytes, `POST /v1/members`, answered by a sealed word. What is
-not good is dropped and counted. `docs/design/gateway-membership.md` has it all.
+A datagram is `MM`, a version byte, a truncated HMAC-SHA256 of 16 bytes over the rest, and a message in
+MessagePack. The second path carries the same bytes in `POST /v1/members` and is answered with a message in
+the same form. Invalid input is dropped and counted. The design is in `docs/design/gateway-membership.md`.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 PATH = "/v1/members"
 MAGIC = b"MM\x01"
 MAC_BYTES = 16
-# bytes of one datagram: every path takes so many whole
+# size limit of a datagram in bytes: every path carries this many without fragmentation
 MAX_DATAGRAM_BYTES = 1200
 
 
 def parse_address(text: str) -> Address:
-    """Give host and port of HOST:PORT. Raises ValueError."""
+    """Return host and port of HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
-        raise ValueError(f"{text[:100]!r} is not HOST:PORT")
+        raise ValueError(f"address {text[:100]!r} is not HOST:PORT")
     return host, int(port)
 
 
@@ -56,12 +56,12 @@
 
 
 class MembershipTransport:
-    """Carries one gateway's `Members`. `members` are all gateways with their addresses, `listen` its own.
+    """Runs one gateway's `Members` on a loop. `members` has the addresses of all gateways.
 
-    `secrets` seal (the first) and open (all). `say(event, **fields)` takes log lines, `tell` hears what
-    others decide by. `place` is told to the others
-    where it is not what `members` has. `members` changes as gateways move. Raises OSError where the address
-    cannot be had.
+    The first of `secrets` authenticates what is sent, all are accepted on receipt. `log(event, **fields)`
+    writes a log line; `notify` receives what other parts of the gateway decide by. `address` is announced to
+    the other gateways where it differs from the one in `members`. `members` is updated as gateways move.
+    Raises OSError if `listen` cannot be bound.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
             gateway, generation, tuple(sorted(members)), random.Random(f"{seed}/members"), address
         )
         self.malformed = self.unauthenticated = 0
-        # hears which configuration others have in force; set before the first word is waited for
+        # receives the revisions that others announce; must be set before the first message arrives
         self.on_revision_announced: Callable[[RevisionAnnounced], None] | None = None
         self._pending_reply: tuple[str, bytes] | None = None
         self._client = HttpClient(
@@ -93,7 +93,7 @@
         self._port = loop.open_datagrams(*listen, self._datagram_received)
         self._execute(self.members.begin(loop.now()))
 
-    # Out
+    # Sending
 
     def _take(self, event: Event) -> None:
         self._execute(self.members.handle(self._loop.now(), event))
@@ -119,15 +119,15 @@
                     self._notify(ProcessDisqualified(command.about))
 
     def _update_address(self, command: MemberMoved) -> None:
-        """Reach a gateway elsewhere; what is no address is counted, and the settings' one kept."""
-        place = self._configured_addresses[command.name]
+        """Store a member's new address; an invalid one is counted, and the one in the settings is used."""
+        address = self._configured_addresses[command.name]
         if command.address:
             try:
-                place = parse_address(command.address)
+                address = parse_address(command.address)
             except ValueError:
                 self.malformed += 1
-        self._addresses[command.name] = place
-        self._log("member_moved", name=command.name, to=f"{place[0]}:{place[1]}")
+        self._addresses[command.name] = address
+        self._log("member_moved", name=command.name, to=f"{address[0]}:{address[1]}")
 
     def _send(self, command: SendGossip) -> None:
         data = self.encode(command.message)
@@ -139,45 +139,45 @@
             self._post(command, data)
 
     def _post(self, command: SendGossip, data: bytes) -> None:
-        def ended(reply: Reply | CallFailure) -> None:
+        def finished(reply: Reply | CallFailure) -> None:
             if reply is CallFailure.REFUSED:
                 self._take(ConnectionRefused(command.to, command.known_generation, command.sent_at))
             elif not isinstance(reply, CallFailure) and reply.status == 200:
-                word = self.decode(reply.body)
-                if word is not None and word.sender == command.to:
-                    self._take(GossipReceived(word, True))
+                message = self.decode(reply.body)
+                if message is not None and message.sender == command.to:
+                    self._take(GossipReceived(message, True))
 
         headers = [("Content-Type", "application/octet-stream")]
-        until = self._loop.now() + PROBE_PERIOD_US
-        self._client.call(self._addresses[command.to], "POST", PATH, ended, headers, data, until)
+        deadline = self._loop.now() + PROBE_PERIOD_US
+        self._client.call(self._addresses[command.to], "POST", PATH, finished, headers, data, deadline)
 
-    # In
+    # Receiving
 
     def _datagram_received(self, data: bytes, peer: tuple[str, int]) -> None:
-        word = self.decode(data)
-        if word is not None:
-            self._take(GossipReceived(word))
+        message = self.decode(data)
+        if message is not None:
+            self._take(GossipReceived(message))
 
     def handle_request(self, body: bytes) -> bytes | None:
-        """Answer a word that came over HTTP; None where it is not good, or wants no answer."""
-        word = self.decode(body)
-        if word is None:
+        """Return the answer to a message that came over HTTP; None if it is invalid or needs no answer."""
+        message = self.decode(body)
+        if message is None:
             return None
         self._pending_reply = None
-        self._take(GossipReceived(word, True))
-        told, self._pending_reply = self._pending_reply, None
-        return told[1] if told is not None and told[0] == word.sender else None
-
-    def encode(self, word: GossipMessage) -> bytes:
-        """Give a word as it is sent: with as much of its news as one datagram takes."""
-        body = msgspec.msgpack.encode(word)
-        while word.updates and len(MAGIC) + MAC_BYTES + len(body) > MAX_DATAGRAM_BYTES:
-            word = msgspec.structs.replace(word, updates=word.updates[: len(word.updates) // 2])
-            body = msgspec.msgpack.encode(word)
+        self._take(GossipReceived(message, True))
+        reply, self._pending_reply = self._pending_reply, None
+        return reply[1] if reply is not None and reply[0] == message.sender else None
+
+    def encode(self, message: GossipMessage) -> bytes:
+        """Return a message as bytes; updates that do not fit into one datagram are left out."""
+        body = msgspec.msgpack.encode(message)
+        while message.updates and len(MAGIC) + MAC_BYTES + len(body) > MAX_DATAGRAM_BYTES:
+            message = msgspec.structs.replace(message, updates=message.updates[: len(message.updates) // 2])
+            body = msgspec.msgpack.encode(message)
         return MAGIC + self._mac(self._secrets[0], body) + body
 
     def decode(self, data: bytes) -> GossipMessage | None:
-        """Give the word of good bytes; others are counted."""
+        """Return the message of authentic bytes; count all others and return None."""
         mac, body = data[len(MAGIC) : len(MAGIC) + MAC_BYTES], data[len(MAGIC) + MAC_BYTES :]
         if not data.startswith(MAGIC) or len(data) > MAX_DATAGRAM_BYTES:
             self.malformed += 1
@@ -195,12 +195,12 @@
     def _mac(secret: bytes, body: bytes) -> bytes:
         return hmac.new(secret, b"members" + body, hashlib.sha256).digest()[:MAC_BYTES]
 
-    # For operators
+    # Operators
 
     def forget(self, name: str, generation: int = 0) -> bool:
-        """Take an operator's word that a gateway is gone for good; False for one that is none.
+        """Mark a gateway as gone for good on an operator's request; return False for an unknown name.
 
-        `start` is the last one known of it when the word was given, where that was before this start.
+        `generation` is set for a request from before this gateway's last restart: the one known at that time.
         """
         if name not in self.members.others:
             return False
@@ -209,34 +209,34 @@
         return True
 
     def state(self) -> dict[str, Any]:
-        """Tell what is believed of each gateway, for operators."""
-        now, part = self._loop.now(), self.members
-        spend, rely = part.counts()
+        """Return what is known about each gateway, for operators."""
+        now, members = self._loop.now(), self.members
+        may_spend, relied_on = members.counts()
         return {
-            "gateway": part.name,
-            "start": part.own_status.generation,
-            "steady": part.is_steady,
-            "condemned": part.disqualified_reason,
-            "slow": part.health_penalty,
-            "count": {"may_spend": spend, "relied_on": rely},
-            "dropped": {**part.dropped, "malformed": self.malformed, "unsealed": self.unauthenticated},
+            "gateway": members.name,
+            "start": members.own_status.generation,
+            "steady": members.is_steady,
+            "condemned": members.disqualified_reason,
+            "slow": members.health_penalty,
+            "count": {"may_spend": may_spend, "relied_on": relied_on},
+            "dropped": {**members.dropped, "malformed": self.malformed, "unsealed": self.unauthenticated},
             "members": {
                 name: {
-                    "stands": each.liveness.name.lower(),
-                    "because": each.liveness.value,
-                    "gone": MEMBER_POLICIES[each.liveness].process_ended,
-                    "start": each.status.generation,
-                    "since_s": round((now - each.since) / 1e6, 1) if each.since else None,
-                    "heard_s": None if each.heard_at is None else round((now - each.heard_at) / 1e6, 1),
-                    "path": each.path.value,
-                    "observers": sorted(each.observers),
-                    **({} if each.revision is None else {"revision": _format_revision(each.revision)}),
+                    "stands": member.liveness.name.lower(),
+                    "because": member.liveness.value,
+                    "gone": MEMBER_POLICIES[member.liveness].process_ended,
+                    "start": member.status.generation,
+                    "since_s": round((now - member.since) / 1e6, 1) if member.since else None,
+                    "heard_s": None if member.heard_at is None else round((now - member.heard_at) / 1e6, 1),
+                    "path": member.path.value,
+                    "observers": sorted(member.observers),
+                    **({} if member.revision is None else {"revision": _format_revision(member.revision)}),
                 }
-                for name, each in part.others.items()
+                for name, member in members.others.items()
             },
         }
 
     def close(self) -> None:
-        """Say goodbye, and hear nothing more."""
+        """Announce the shutdown and stop receiving."""
         self._execute(self.members.leave(self._loop.now()))
         self._port.close()
