--- a/mintmast/decisions/gateways/claims.py
+++ b/mintmast/decisions/gateways/claims.py
@@ -38,7 +38,7 @@
 # attempts per claim: three claimants that split the votes three times in a row are no coincidence
 MAX_CLAIM_ATTEMPTS = 4
 # reason of a claim for which too few witnesses voted
-NO_QUORUM_REASON = "too few witnesses of this key answered"
+NO_QUORUM_REASON = "the owners of this key cannot be asked"
 
 
 class ClaimState(Enum):
@@ -136,7 +136,7 @@
         """Claim a key by `deadline` (µs) for a session of `length` µs, 0 if unknown."""
         claim = _Claim(session, hash_key(key), (length or MAX_SESSION_US) + RECORD_RETENTION_US, deadline)
         if self._owned.get(claim.digest, ("", 0, now))[2] > now:  # a session that may have run holds it
-            self._on_decided(now, session, "this key has been used")
+            self._on_decided(now, session, "this key has been spent")
             return
         if self.witness_service.disqualified_reason:
             self._on_decided(now, session, self.witness_service.disqualified_reason)
@@ -229,7 +229,7 @@
             return
         self._claims.pop(claim.session, None)
         is_lost = claim.state is ClaimState.LOST
-        reason = "another gateway owns this key" if is_lost else NO_QUORUM_REASON
+        reason = "another gateway has this key" if is_lost else NO_QUORUM_REASON
         self._on_decided(now, claim.session, reason)
 
     def _retry_jitter(self, claim: _Claim) -> int:
--- a/mintmast/peers/transport.py
+++ b/mintmast/peers/transport.py
@@ -238,7 +238,7 @@
         ):
             reply = self.answer_gossip(exchange.body)
             if reply is None:
-                exchange.respond_problem(401, "gossip message is not authentic or expects no reply")
+                exchange.respond_problem(401, "not a word that wants an answer")
             else:
                 exchange.respond(200, [("Content-Type", "application/octet-stream")], reply)
             return
@@ -247,21 +247,21 @@
             return
         mac = exchange.headers.get(MAC_HEADER, "")
         if not self._is_authentic(mac, exchange.body):
-            exchange.respond_problem(401, "call is not signed with a known secret")
+            exchange.respond_problem(401, "the call is not signed with a secret known here")
             return
         try:
             body = msgspec.json.decode(exchange.body, type=CallBody)
         except (msgspec.DecodeError, RecursionError) as error:
-            exchange.respond_problem(400, f"call body is invalid: {error}")
+            exchange.respond_problem(400, f"not a call: {error}")
             return
         if abs(body.at - self._loop.wall()) > self._max_skew:
-            exchange.respond_problem(401, "call is too old, or clocks differ too much")
+            exchange.respond_problem(401, "the call is too old, or clocks differ too much")
         elif body.revisions is not None:
             self._respond_revisions(exchange, body.revisions, mac)
         elif body.members != self._members_digest or body.owner.partition("/")[0] not in self._members:
-            exchange.respond_problem(409, "caller's list of gateways differs from this gateway's")
+            exchange.respond_problem(409, "the list of gateways is another one here")
         elif body.learn is None and body.aside is None and not body.digest:
-            exchange.respond_problem(400, "claim has no digest")
+            exchange.respond_problem(400, "a claim names a digest")
         else:
             retention = max(0, body.keep_ms) * 1000
             digest, number = body.digest[:64], body.number
@@ -271,7 +271,7 @@
 
     def _respond(self, exchange: Exchange, reply: PeerReply, mac: str) -> None:
         if not reply.answered:
-            exchange.respond_problem(503, "this process must no longer act under its name")
+            exchange.respond_problem(503, "this process must not act under its name any more")
             return
         records = tuple(
             (digest, owner, number, retention // 1000) for digest, owner, number, retention in reply.records
@@ -290,7 +290,7 @@
     def _respond_revisions(self, exchange: Exchange, request: RevisionRequest, mac: str) -> None:
         revisions = None if self.answer_revisions is None else self.answer_revisions(request)
         if revisions is None:
-            exchange.respond_problem(400, "request is invalid, or this gateway shares no configuration")
+            exchange.respond_problem(400, "no question, or no configuration is shared here")
         else:
             self._send_reply(exchange, ReplyBody(revisions=revisions), mac)
 
