--- a/mintmast/decisions/gateways/member_status.py
+++ b/mintmast/decisions/gateways/member_status.py
@@ -1,12 +1,13 @@
-"""How a gateway of the region stands, how two words of it are merged, and what may be concluded from it.
+"""The status of one gateway as others report it, how two reports are merged, and what each state permits.
 
-Everything that one gateway tells of another is a `Standing`; of two, the one of the later start, then of the
-higher incarnation, then of the graver state counts. That is one order over all of them, so whatever is late,
-doubled, lost for a while or in another order ends in the same standing everywhere.
+Every report about a gateway is a `MemberStatus`. Of two reports the one with the later generation wins, then
+the one with the higher incarnation, then the one with the more severe state. This is a total order, so
+delayed, duplicated, lost and reordered messages all converge on the same status at every gateway.
 
-What others may do on it is a table, as the dangers lie there: a gateway that cannot be reached may serve its
-viewers, own keys and spend budgets all the same. Silence proves nothing. States, incarnations and refutation
-by the subject alone are SWIM's (Das, Gupta, Motivala 2002); `DEAD` is not, which takes time-outs for it.
+What other gateways may do in each state is a table, `MEMBER_POLICIES`, because that is where the risks are:
+an unreachable gateway may still serve its viewers, own keys and spend shared budgets. Silence proves nothing.
+States, incarnations and refutation by the subject alone follow SWIM (Das, Gupta, Motivala 2002). `DEAD` does
+not: SWIM declares it after a timeout, here it takes proof that the process has ended.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 
 class MemberState(IntEnum):
-    """Graver states have higher numbers."""
+    """State of a member. More severe states have higher numbers."""
 
-    ALIVE = 0  # said by the gateway itself, and by nobody else
-    SUSPECTED = 1  # an observer reached it neither itself nor through others
-    UNREACHABLE = 2  # as many observers as there are to ask say so
-    LEFT = 3  # its own word at an orderly end
-    DEAD = 4  # proved; see `Proof`
+    ALIVE = 0  # only the gateway itself announces this
+    SUSPECTED = 1  # an observer reached it neither directly nor through other gateways
+    UNREACHABLE = 2  # confirmed by as many observers as are required
+    LEFT = 3  # it announced an orderly shutdown
+    DEAD = 4  # proven; see `Liveness`
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class MemberStatus:
-    """One gateway as it is told of. `start` is its process's number, 0 where none was heard of."""
+    """A gateway's status as reported. `generation` identifies its process, 0 where none is known yet."""
 
     generation: int = 0
     incarnation: int = 0
@@ -35,12 +36,12 @@
 
 
 def merge_status(first: MemberStatus, second: MemberStatus) -> MemberStatus:
-    """Give what counts of two words; the order in which they came plays no part."""
+    """Return the report that takes precedence, whatever order the two arrived in."""
     return max(first, second)
 
 
 def refute(own: MemberStatus, claimed: MemberStatus) -> MemberStatus:
-    """Let a gateway answer what is said of its own start: it lives, under the next incarnation."""
+    """Return a gateway's own status after a report about it: alive, above what it must refute."""
     if claimed.generation != own.generation or claimed <= own:
         return own
     return MemberStatus(
@@ -49,15 +50,15 @@
 
 
 def apply_refusal(known: MemberStatus, generation: int) -> MemberStatus:
-    """Take it that the machine took no connection when `start` was the last one known there.
+    """Mark a member dead if its machine refused a connection while `generation` was the last one known there.
 
-    Danger: the refusal may come late, when the next process of the name answers already.
+    The generation is checked because a refusal may arrive late, when the next process already answers.
     """
     return replace(known, state=MemberState.DEAD) if generation == known.generation else known
 
 
 class Liveness(Enum):
-    """What a conclusion rests on."""
+    """What a gateway believes about a member, named by the evidence for it."""
 
     HEARD = "it answers"
     SILENT = "one observer hears nothing"
@@ -71,33 +72,35 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberPolicy:
-    """What may be done about a gateway, each column on its safe side."""
-
-    is_preferred: bool  # claims and questions go to it before others
-    may_vote: bool  # a vote of its may still come true
-    may_own_keys: bool  # keys that it owned may be in use: they are not given to others
-    may_spend_budget: bool  # it counts among those who spend what all share: budgets, cold pace
-    counts_as_capacity: bool  # it counts among those who carry load
-    process_ended: bool  # its process is over: what only it remembered is lost, and it will not act on it
+    """What other gateways may assume about a member. Each field errs on its safe side."""
+
+    is_preferred: bool  # claims and requests go to it before others
+    may_vote: bool  # a vote of it may still arrive
+    may_own_keys: bool  # keys that it owned may be in use, so nobody else gets them
+    may_spend_budget: bool  # it counts when budgets and the slow-start rate are shared out
+    counts_as_capacity: bool  # it counts among those that carry load
+    process_ended: (
+        bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
+    )
     reason: str
 
 
 MEMBER_POLICIES: dict[Liveness, MemberPolicy] = {
-    Liveness.HEARD: MemberPolicy(True, True, True, True, True, False, "it says so itself"),
+    Liveness.HEARD: MemberPolicy(True, True, True, True, True, False, "it announces itself"),
     Liveness.SILENT: MemberPolicy(
-        False, True, True, True, True, False, "a lost message or a pause is likelier than an end"
+        False, True, True, True, True, False, "a lost message or a pause is likelier than its end"
     ),
     Liveness.CONFIRMED: MemberPolicy(
-        False, True, True, True, False, False, "a cut path looks the same from here; beyond it it serves"
+        False, True, True, True, False, False, "behind a broken path, which looks the same, it serves"
     ),
     Liveness.NEVER_HEARD: MemberPolicy(
-        False, True, True, True, False, False, "this gateway is the new one and knows nothing"
+        False, True, True, True, False, False, "this gateway has just started and knows nothing about it"
     ),
     Liveness.LEFT: MemberPolicy(
-        False, False, True, False, False, False, "it takes nothing new; what it holds plays to its end"
+        False, False, True, False, False, False, "it accepts no new work; its sessions play to their end"
     ),
     Liveness.REFUSED: MemberPolicy(
-        False, False, False, False, False, True, "the machine runs and has no such process"
+        False, False, False, False, False, True, "its machine runs, and no process listens there"
     ),
     Liveness.LATER_START: MemberPolicy(
         False,
@@ -106,7 +109,7 @@
         False,
         False,
         True,
-        "one address has one process; the new one has no memory of it",
+        "an address has one process; the new one knows nothing of the old",
     ),
     Liveness.ORDER: MemberPolicy(
         False,
@@ -115,16 +118,16 @@
         False,
         False,
         True,
-        "who gives the order answers for it: were it alive, it might charge twice",
+        "the operator is responsible: if it were alive, viewers might be charged twice",
     ),
 }
 
 
 def count_live(liveness: list[Liveness]) -> tuple[int, int]:
-    """Count, this gateway included, those who may spend what all share and those who can be relied on.
+    """Count the gateways, this one included, that may spend shared budgets and those that carry load.
 
-    Danger: a cut halves the count on both sides; were shares made of the lower one, both halves together
-    would spend twice what there is.
+    The two counts differ because a network partition halves the second one on both sides. If budgets were
+    divided by it, both halves together would spend twice the budget.
     """
     policies = [MEMBER_POLICIES[proof] for proof in liveness]
     return 1 + sum(each.may_spend_budget for each in policies), 1 + sum(
--- a/mintmast/decisions/gateways/members.py
+++ b/mintmast/decisions/gateways/members.py
@@ -1,11 +1,12 @@
-"""Who of the region's gateways is there: probes, suspicion, refutation, and what others told.
+"""Failure detection among the gateways of a region: probes, suspicion, refutation and gossiped updates.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2017): each gateway
-probes one other a period, first itself, then through helpers and over TCP, and passes on what it heard with
-the words that it sends anyway. The changes: nobody is taken out by one observer's word, however long it
-stands; a gateway that stood still accuses nobody; unreachable is never dead (`standing.py`).
+The protocol is SWIM (Das, Gupta, Motivala 2002) with the local health of Lifeguard (Dadgar, Phillips, Currey
+2017). In each period a gateway probes one other, first directly, then through other gateways and over TCP,
+and piggybacks updates on the messages that it sends anyway. It differs in three points: the word of one
+observer never makes a member unreachable, however long the suspicion lasts; a gateway whose process was
+paused suspects nobody; and unreachable never becomes dead by itself (`member_status.py`).
 
-Pure: `take(now, event)` gives commands; times in µs, random numbers from the generator handed in.
+Pure: `handle(now, event)` returns commands. Times are in µs; the random generator is passed in.
 """
 
 from __future__ import annotations
@@ -56,49 +57,50 @@
 from mintmast.decisions.gateways.revision_types import RevisionAnnounced
 
 MS, SECOND = 1000, 1_000_000
-# µs that a probe has in all, first itself and then through others; half a second finds a loss within the time
-# that a paid viewer waits
+# length of a probe, direct and indirect parts together: half a second detects a failure within the time that
+# a paid viewer waits
 PROBE_PERIOD_US = 500 * MS
-# µs for an answer before others are asked: a round trip in a region and a turn of a busy loop. The next probe
-# goes after so long where the last was answered and there is news, and after a whole period otherwise
+# time for a direct answer before the indirect probes: a round trip in a region and one turn of a busy loop.
+# The next probe starts after this time if the last was answered and there are updates to send, else after a
+# period
 PROBE_TIMEOUT_US = 150 * MS
-# who are asked to probe in this gateway's place, as in SWIM: with a fifth of all datagrams lost, all three
-# fail for a gateway that is well once in fourteen times
+# gateways asked to probe on this one's behalf, as in SWIM: with a fifth of all datagrams lost, all three fail
+# for a healthy member once in fourteen probes
 INDIRECT_PROBES = 3
-# observers that must hear nothing before a gateway is taken for unreachable, where there are so many: a
-# single machine's trouble, or two on one broken switch, take out nobody
+# observers required before a member counts as unreachable, if there are that many: a fault on one machine, or
+# on two behind one broken switch, makes nobody unreachable
 MIN_OBSERVERS = 3
-# µs for which a suspicion stands at the least, so that the suspected has a chance to say that it lives
+# least duration of a suspicion, so that the suspected member has time to refute it
 SUSPICION_US = 2 * PROBE_PERIOD_US
-# times that news is passed on, for each doubling of the number of gateways; SWIM's lambda
+# transmissions of an update for each doubling of the number of gateways; SWIM's lambda
 RETRANSMIT_FACTOR = 3
-# µs by which a wake may be late before this process counts as having stood still: longer than any turn of a
-# healthy loop, shorter than what a probe waits
+# a timer that is late by more than this means that the process was paused: longer than any turn of a healthy
+# loop, shorter than the wait of a probe
 PAUSE_THRESHOLD_US = 200 * MS
-# others to be heard after a stand-still, where half of the region is more: what they say is all the region's
-# news, and so many do not all share one cut
+# members to hear from after a pause, where half of the region is more: together they know all recent updates
+# of the region, and so many are not all behind one partition
 MIN_HEARD_AFTER_PAUSE = 5
-# µs after a word of one who holds the region to stand otherwise in which all is passed on in turn, and probes
-# go fast: the next such word comes sooner, if they still differ
+# time after a message with another digest in which old updates are sent in turn and probes go fast; if the
+# two still differ, the next such message arrives sooner
 DIVERGENCE_US = 2 * PROBE_PERIOD_US
-# words in a row that tell this gateway's own digest, after which it has no news: were one in four behind, one
-# time in ten, and those who are show it by theirs
+# consecutive messages with this gateway's own digest after which it drops its pending updates. If one member
+# in four were behind, this would happen one time in ten, and those members announce it by their digests
 AGREEING_MESSAGES = 8
-# how much further an answer's old news begins for each question: some fewer than a word takes, as what is new
-# goes first
+# distance between the first old updates of consecutive answers: a few less than a message holds, because new
+# updates go first
 UPDATE_STRIDE = 8
-# steps of own slowness, each of which makes time-outs longer by one: Lifeguard's bound
+# limit of the local health penalty, each step of which lengthens the timeouts by one: Lifeguard's bound
 MAX_HEALTH_PENALTY = 8
-# of so many probes at the most one goes to a gateway that is not reached, so that its return is noticed; and
-# of all the region's in a period so many go to each of them, once this one has been through its first round.
-# Danger: were it always one in four, a machine that comes back has words of thousands in its first second
+# at most one probe in so many goes to a member that is not present, so that its return is noticed; and all
+# gateways together send it so many in a period, once this gateway has finished its first round. With always
+# one in four, a returning machine would receive messages from thousands of gateways in its first second
 LOST_PROBE_INTERVAL, LOST_PROBES_PER_PERIOD = 4, 1.0
-# who probe a gateway before its turn where somebody suspects it, some of all: the observers that it takes,
-# and some more as a few are late. Danger: all who hear of it at once, and it is one that was only slow
+# gateways that probe a suspected member out of turn: the required observers and a few more, as some are late.
+# If all that learn of a suspicion did so at once, they would flood a member that is often only slow
 EARLY_PROBERS = 12
-# a word's fields that tell no head and bring nothing; see `words.HeadedWord`
+# fields of a message that announces no revision and carries none; see `GossipWithRevision`
 NO_REVISION = -1, 0, 0, ()
-# answers in a row after which a path that was broken counts as whole again, so that a flapping one does not
+# consecutive direct answers after which a broken path counts as working again; one alone would let it flap
 ANSWERS_TO_RECOVER_PATH = 4
 
 
@@ -113,7 +115,7 @@
 
 
 class Members:
-    """One gateway's part. `names` are all gateways of the region, itself among them; `place`: see `Word`."""
+    """Membership as one gateway sees it; `names` are all gateways of the region, itself included."""
 
     def __init__(
         self, name: str, generation: int, names: tuple[str, ...], rng: random.Random, address: str = ""
@@ -123,42 +125,40 @@
         self.others = {each: Member(each) for each in sorted(names) if each != name}
         self._names = tuple(self.others)
         self._suspected: dict[str, None] = {}
-        self._not_present = dict.fromkeys(self._names)  # those neither alive nor suspected
-        self._never_heard = dict.fromkeys(self._names)  # and those of whom nothing was ever heard
+        self._not_present = dict.fromkeys(self._names)  # members neither alive nor suspected
+        self._never_heard = dict.fromkeys(self._names)  # those of them that were never heard from
         self.health_penalty = 0
-        self.disqualified_reason = ""  # why this process must not act under its name any more
+        self.disqualified_reason = ""  # why this process must no longer act under its name
         self.dropped = dict.fromkeys(("foreign", "old", "doubled", "bad state"), 0)
-        self.messages_sent = 0  # that were sent
-        self.revision_gossip: RevisionGossip | None = (
-            None  # of the configuration in force; None where it is not shared
-        )
-        self._heard_since_pause: set[str] | None = (
-            set()
-        )  # who was heard since this process stood still; None: enough
-        self._periods_since_pause = 0  # whole periods of that
+        self.messages_sent = 0
+        self.revision_gossip: RevisionGossip | None = None  # None if the configuration is not shared
+        # members heard since a pause; None when there were enough
+        self._heard_since_pause: set[str] | None = set()
+        self._periods_since_pause = 0
         self._probe: _Probe | None = None
-        self._relayed_probes: dict[int, tuple[str, int, int]] = {}  # own number: asker, its number, when
+        # own probe number: requester, its probe number, time
+        self._relayed_probes: dict[int, tuple[str, int, int]] = {}
         self._probe_number = 0
         self._probe_order: list[str] = []
-        self._probe_next: deque[str] = deque(maxlen=64)  # suspected by others, to be probed before the rest
-        self._pending_updates: dict[str, int] = {}  # news to be passed on, and how often it was
+        self._probe_next: deque[str] = deque(maxlen=64)  # suspected by others, to be probed out of turn
+        self._pending_updates: dict[str, int] = {}  # updates to send, and how often each was sent
         self._update_cursor = 0
         self._digest = hash_status(name, self.own_status)
-        self._agreeing_messages = 0  # words in a row from those who hold the region to stand alike
-        self._diverged_until = 0  # µs until when others are taken to hold the region to stand otherwise
+        self._agreeing_messages = 0  # consecutive messages whose digest equals this gateway's
+        self._diverged_until = 0  # µs until when the digests of others are taken to differ
         self._skipped_period = False
         self._timer_at = 0
         self._commands: list[Command] = []
 
-    # What others ask of it
+    # Queries
 
     @property
     def is_steady(self) -> bool:
-        """Tell whether time gone by means anything here: not just after a stand-still, nor when condemned."""
+        """Return whether elapsed time is meaningful: no recent pause, and the process is not disqualified."""
         return self._heard_since_pause is None and not self.disqualified_reason
 
     def liveness(self, name: str, generation: int | None = None) -> Liveness:
-        """Tell what is known of a gateway, or of one of its starts."""
+        """Return what is known about a member, or about one of its generations."""
         member = self.others[name]
         return (
             Liveness.LATER_START
@@ -167,31 +167,31 @@
         )
 
     def policy(self, name: str, generation: int | None = None) -> MemberPolicy:
-        """Tell what may be done about it."""
+        """Return what may be assumed about a member."""
         return MEMBER_POLICIES[self.liveness(name, generation)]
 
     def counts(self) -> tuple[int, int]:
-        """Count gateways, this one among them: those who may spend what all share, those relied on."""
+        """Count the gateways, this one included, that may spend shared budgets and those that carry load."""
         return count_live([each.liveness for each in self.others.values()])
 
     # Events
 
     def begin(self, now: int) -> list[Command]:
-        """Start, at a random place in the first period: gateways that start together do not probe in step."""
+        """Start at a random point of the first period, so that gateways started together stay out of step."""
         if self.others:
             self._schedule_timer(now + self._random.randrange(PROBE_PERIOD_US))
         return self._take_commands()
 
     def leave(self, now: int) -> list[Command]:
-        """Say that this gateway ends."""
+        """Announce the shutdown of this gateway."""
         self.own_status = replace(self.own_status, state=MemberState.LEFT)
-        there = [each.name for each in self.others.values() if each.liveness is Liveness.HEARD]
-        for name in self._random.sample(there, min(len(there), 2 * INDIRECT_PROBES)):
+        present = [each.name for each in self.others.values() if each.liveness is Liveness.HEARD]
+        for name in self._random.sample(present, min(len(present), 2 * INDIRECT_PROBES)):
             self._send(now, name, GossipKind.LEAVE)
         return self._take_commands()
 
     def handle(self, now: int, event: Event) -> list[Command]:
-        """Take an event and give the commands that follow."""
+        """Handle an event and return the commands that follow."""
         if isinstance(event, TimerFired):
             self._timer_fired(now, event.scheduled_at)
         elif isinstance(event, GossipReceived):
@@ -201,14 +201,14 @@
         return self._take_commands()
 
     def _take_commands(self) -> list[Command]:
-        out, self._commands = self._commands, []
-        return out
+        commands, self._commands = self._commands, []
+        return commands
 
     def _schedule_timer(self, at: int) -> None:
         self._timer_at = at
         self._commands.append(ScheduleTimer(at))
 
-    # Time
+    # Timers
 
     def _timer_fired(self, now: int, scheduled_at: int) -> None:
         if scheduled_at != self._timer_at or self.own_status.state is MemberState.LEFT:
@@ -225,16 +225,18 @@
             self._confirm_suspicions(now)
             self._end_pause_recovery()
             self._start_probe(now)
-        first = self._probe is not None and not self._probe.is_indirect
-        span = (PROBE_TIMEOUT_US if first else PROBE_PERIOD_US - PROBE_TIMEOUT_US) * (1 + self.health_penalty)
-        self._schedule_timer(now + span)
+        awaits_direct_answer = self._probe is not None and not self._probe.is_indirect
+        wait = (PROBE_TIMEOUT_US if awaits_direct_answer else PROBE_PERIOD_US - PROBE_TIMEOUT_US) * (
+            1 + self.health_penalty
+        )
+        self._schedule_timer(now + wait)
 
     def _is_idle(self, now: int) -> bool:
-        """Tell whether there is nothing to pass on and nobody to look after.
+        """Return whether there are no updates to send and no suspicions to check.
 
-        Danger: thirteen words a second, each filled with what the reader knows already, are one and a half
-        times the bytes that all control may cost. May hurt: a loss meets its first probe later, by up to a
-        period over as many as probe.
+        If not idle, a gateway sends thirteen messages a second; filled with what the receivers already know,
+        they would cost one and a half times the bytes that all control traffic may use. The price is that a
+        failure meets its first probe later, by up to a period divided by the number of gateways that probe.
         """
         busy = (
             self._pending_updates
@@ -245,10 +247,11 @@
         return not busy and now >= self._diverged_until
 
     def _resume_after_pause(self, now: int) -> None:
-        """Take it that this process stood still: what others did meanwhile is not known.
+        """Record that this process was paused and does not know what the others did meanwhile.
 
-        Danger: a gateway that was stopped for a while believes that all others fell silent, accuses them, and
-        lends its vote to a rumour. It judges nothing that ran over its pause, and first hears from others.
+        Without this, a gateway that was stopped for a while would believe that all others had gone silent,
+        suspect them, and support suspicions of others. It drops the probe that spans the pause and hears from
+        the others first.
         """
         self._probe, self._heard_since_pause, self._periods_since_pause = None, set(), 0
         self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
@@ -259,27 +262,26 @@
         self._commands.append(OperatorNotice("stood_still"))
 
     def _end_pause_recovery(self) -> None:
-        """After a stand-still: enough were heard, or there is nobody to be heard."""
+        """End the recovery from a pause once enough members were heard, or if there are none."""
         if self._heard_since_pause is None:
             return
         self._periods_since_pause += 1
-        half = (len(self.others) + 1) // 2  # with this one, more than half
+        half = (len(self.others) + 1) // 2  # with this gateway, more than half
         if len(self._heard_since_pause) >= min(half, MIN_HEARD_AFTER_PAUSE):
             self._heard_since_pause = None
 
     def _finish_probe(self, now: int) -> None:
-        """End the probe that is out: nobody reached its target."""
+        """Evaluate the current probe, which nobody answered."""
         probe, self._probe = self._probe, None
         if probe is None:
             return
         member = self.others[probe.target]
         member.direct_answers = 0
         if probe.helpers and not probe.nacks:
-            self.health_penalty = min(
-                MAX_HEALTH_PENALTY, self.health_penalty + 1
-            )  # nobody answered at all: the trouble may be here
+            # not even a NACK: the fault may be on this machine
+            self.health_penalty = min(MAX_HEALTH_PENALTY, self.health_penalty + 1)
         if self._heard_since_pause is not None and self._periods_since_pause < 3:
-            return  # just after a stand-still, or the start
+            return  # just paused or started
         heard = member.heard_at is not None and member.heard_at >= probe.sent_at
         member.path = PathState.OUTBOUND_BROKEN if heard else PathState.BROKEN
         if not heard and member.status.state in (MemberState.ALIVE, MemberState.SUSPECTED):
@@ -288,7 +290,7 @@
             )
 
     def _record_suspicion(self, now: int, member: Member, status: MemberStatus, observer: str) -> None:
-        """Book an observer's word that it hears nothing of a gateway."""
+        """Record that an observer cannot reach a member."""
         if status < member.status:
             return
         if status > member.status:
@@ -301,7 +303,7 @@
             self._pending_updates[member.name] = self._agreeing_messages = 0
 
     def _confirm_suspicions(self, now: int) -> None:
-        """Take those for unreachable of whom enough observers hear nothing, for long enough."""
+        """Mark as unreachable the members that enough observers have suspected for long enough."""
         alive = 1 + len(self.others) - len(self._suspected) - len(self._not_present)
         if self._heard_since_pause is not None:
             return
@@ -324,21 +326,21 @@
             del self._relayed_probes[number]
 
     def _choose_target(self) -> str | None:
-        """Give whom to probe: those that others suspect, then one after the other in an order drawn anew."""
+        """Choose the member to probe: those suspected by others first, then all in a shuffled round robin."""
         while self._probe_next:
             name = self._probe_next.popleft()
             if self.others[name].status.state is MemberState.SUSPECTED:
                 return name
-        lost, never_heard = (
+        absent, never_heard = (
             self._not_present,
             self._never_heard if self._probe_number <= len(self.others) else {},
         )
-        if lost:
-            probability = 1.0 if never_heard else LOST_PROBES_PER_PERIOD * len(lost) / len(self.others)
-            # drawn, not counted: all have known of the loss for as long, and would come back to it together
+        if absent:
+            probability = 1.0 if never_heard else LOST_PROBES_PER_PERIOD * len(absent) / len(self.others)
+            # random instead of counted: all gateways learned of the loss together and would probe it together
             probe_lost = self._random.random() < min(1 / LOST_PROBE_INTERVAL, probability)
-            if probe_lost or len(lost) == len(self.others):
-                return self._random.choice(tuple(never_heard or lost))
+            if probe_lost or len(absent) == len(self.others):
+                return self._random.choice(tuple(never_heard or absent))
         while self._probe_order:
             name = self._probe_order.pop()
             if self._is_present(self.others[name]):
@@ -352,7 +354,7 @@
         return member.status.state in (MemberState.ALIVE, MemberState.SUSPECTED)
 
     def _probe_indirectly(self, now: int) -> None:
-        """Go on with a probe that was not answered: through helpers, and over TCP, which loses nothing."""
+        """Continue an unanswered probe through other gateways, and over TCP, which recovers lost packets."""
         probe = self._probe
         if probe is None:
             return
@@ -388,7 +390,7 @@
                 member.path = PathState.WORKING
             return
         member.direct_answers = 0
-        # whether it heard the probe itself, so that only its answer was lost
+        # whether the target received the probe, so that only its answer was lost
         probe_arrived = 0 <= message.heard_ms_ago * MS <= now - probe.sent_at + PROBE_TIMEOUT_US
         member.path = PathState.INBOUND_BROKEN if probe_arrived else PathState.OUTBOUND_BROKEN
         if not probe_arrived and (
@@ -397,10 +399,10 @@
             member.path = PathState.BROKEN
 
     def _full_round_us(self) -> int:
-        """Give the time in which each other gateway has probed this one, µs."""
+        """Return the time in which every other gateway probes this one once, in µs."""
         return 2 * PROBE_PERIOD_US * (len(self.others) + 1)
 
-    # Words
+    # Messages
 
     def _send(
         self,
@@ -411,15 +413,11 @@
         subject: str = "",
         heard_ms_ago: int = -1,
         reliable: bool = False,
-        answered: GossipMessage | None = None,  # what it answers
+        answered: GossipMessage | None = None,  # the message that this one answers
     ) -> None:
         self.messages_sent += 1
-        own, updates = (
-            self.own_status,
-            ()
-            if kind == GossipKind.ACK and not probe_number
-            else self._choose_updates(now, to, kind, probe_number),
-        )
+        own, answers_no_probe = self.own_status, kind == GossipKind.ACK and not probe_number
+        updates = () if answers_no_probe else self._choose_updates(now, to, kind, probe_number)
         fields = (
             kind,
             self.name,
@@ -436,7 +434,7 @@
         self._commands.append(SendGossip(to, message, reliable, self.others[to].status.generation, now))
 
     def _revision_fields(self, now: int, to: str, kind: GossipKind, answered: GossipMessage | None) -> tuple:
-        """Give what a word tells of the head in force, and what its reader lacks."""
+        """Return the fields that announce the active revision and carry deltas that the receiver lacks."""
         gossip, peer_summary = self.revision_gossip, revision_summary_of(answered)
         if gossip is None or gossip.head is None:
             return NO_REVISION
@@ -447,11 +445,12 @@
     def _choose_updates(
         self, now: int, to: str, kind: GossipKind, probe_number: int
     ) -> tuple[MemberUpdate, ...]:
-        """Choose what to pass on: what is said of the one who reads it, the newest, then all in turn.
+        """Choose updates to send: what others report of the receiver, then the newest, then all in turn.
 
-        What is old goes only while somebody was heard lately who holds the region to stand otherwise. Danger:
-        did each begin wherever it is, one that has started would hear the same again and again and the last
-        ones late. An answer begins by its question's number, and who asks one after the other hears all once.
+        Old updates go out only while digests differed recently. An answer's old updates start at a position
+        derived from the probe number, so that a gateway that probes one after the other receives each of them
+        once. If every sender started at its own cursor, a newly started gateway would receive some updates
+        again and again and the last ones late.
         """
         names: dict[str, None] = {}
         if self.others[to].liveness is not Liveness.HEARD and self.others[to].status.generation:
@@ -542,16 +541,16 @@
             if self.revision_gossip is not None and self.revision_gossip.should_send_deltas(
                 now, member.name, summary
             ):
-                self._send(
-                    now, member.name, GossipKind.ACK, answered=message
-                )  # an answer to no probe: what it lacks
+                # carries deltas, answers no probe
+                self._send(now, member.name, GossipKind.ACK, answered=message)
 
     def _compare_digest(self, now: int, message: GossipMessage) -> None:
-        """Hold the sender's table against this one, which has what the word told.
+        """Compare the sender's digest with this gateway's, after the message's updates were applied.
 
-        Danger: one that has started takes all that it learns for news, and would tell thousands of standings
-        dozens of times to who knows them. Demers' rumours with feedback: who meets only such loses interest.
-        Not in a suspicion, as who observes it is not in the digest and must come round.
+        A newly started gateway takes all that it learns for new and would send thousands of updates dozens of
+        times to gateways that know them. As in Demers' rumour mongering with feedback, it stops after meeting
+        only gateways that agree; not during a suspicion, because observers are not part of the digest and
+        must spread.
         """
         if isinstance(message, GossipWithDigest) and message.membership_digest == self._digest:
             self._agreeing_messages += 1
@@ -561,9 +560,10 @@
             self._agreeing_messages, self._diverged_until = 0, now + DIVERGENCE_US
 
     def _update_address(self, member: Member, generation: int, address: str) -> None:
-        """Reach a start of a gateway where it is.
+        """Store the address of a member's generation.
 
-        Danger: its machine of before refuses connections, and that would be taken for this start's end.
+        With the address of an earlier generation, the machine there would refuse connections, and that would
+        be taken as proof that this generation has ended.
         """
         if generation <= member.address_generation:
             return
@@ -573,7 +573,7 @@
             self._commands.append(MemberMoved(member.name, address))
 
     def _relay_probe(self, now: int, requester: str, message: GossipMessage) -> None:
-        """Probe another in the asker's place; the asker hears at once that this gateway is there itself."""
+        """Probe on another gateway's behalf; the NACK shows it at once that this gateway is reachable."""
         self._probe_number += 1
         self._relayed_probes[self._probe_number] = requester, message.probe_number, now
         while len(self._relayed_probes) > 4 * len(self.others):
@@ -582,7 +582,7 @@
         self._send(now, requester, GossipKind.NACK, message.probe_number, message.subject)
 
     def _apply_update(self, now: int, update: MemberUpdate) -> None:
-        """Take what another passed on."""
+        """Apply an update that another gateway sent."""
         try:
             status = update.status()
         except ValueError:
@@ -606,7 +606,7 @@
             and claimed.state is MemberState.DEAD
             and claimed > self.own_status
         ):
-            self._disqualify("the others hold this process for dead")
+            self._disqualify("the other gateways consider this process dead")
         refuted = refute(self.own_status, claimed)
         if self.own_status.state is not MemberState.LEFT and refuted != self.own_status:
             self._digest ^= hash_status(self.name, self.own_status) ^ hash_status(self.name, refuted)
@@ -632,13 +632,13 @@
         }
         self._set_status(now, member, status, liveness[status.state])
 
-    # Standing
+    # Status
 
     def _process_ended(self, now: int, event: ConnectionRefused | ForgetMember) -> None:
-        """Take a proof that a process is over.
+        """Apply proof that a process has ended.
 
-        A refusal is about the process that was known when the word left, and only where nothing was heard of
-        it since: it may come late, when the next process answers already.
+        A refused connection counts against the generation that was known when the message was sent, and only
+        if nothing was heard from it since: a refusal may arrive late, when the next process already answers.
         """
         member = self.others[event.name]
         if member.status.state is MemberState.DEAD:
@@ -647,7 +647,7 @@
         status = replace(member.status, state=MemberState.DEAD)
         if isinstance(event, ForgetMember) and event.generation:
             if event.generation < member.status.generation:
-                return  # another life of it has been heard of since
+                return  # a later generation has been seen since
             status = MemberStatus(event.generation, member.status.incarnation, MemberState.DEAD)
         if isinstance(event, ConnectionRefused):
             status = apply_refusal(member.status, event.generation)
--- a/mintmast/decisions/gateways/revisions.py
+++ b/mintmast/decisions/gateways/revisions.py
@@ -1,10 +1,11 @@
-"""Configuration in force: who numbers revisions, who has which, and how they come to every gateway.
+"""Replication of the shared configuration: who numbers revisions, and how they reach every gateway.
 
-An epidemic (Demers and others, PODC 1987): every word of membership carries its sender's head, and who hears
-of a newer one pulls what is missing from that sender. One publisher at a time numbers, in a term of its own.
+An epidemic protocol (Demers and others, PODC 1987): membership messages announce the sender's head, and a
+gateway that learns of a newer one pulls what it lacks from that sender. One publisher at a time numbers
+revisions, in a term of its own.
 
-Pure: `take(now, event)` gives commands, `answer(question)` what others get; times in µs, random numbers from
-the generator handed in. `docs/design/configuration.md` has the dangers and what was weighed.
+Pure: `handle(now, event)` returns commands, `answer(request)` the reply to another gateway. Times are in µs;
+the random generator is passed in. `docs/design/configuration.md` has the failure modes and alternatives.
 """
 
 from __future__ import annotations
@@ -50,22 +51,19 @@
     digest_of,
 )
 
-# µs between a region's questions to other regions, whatever its size: two a second, whatever fails
+# µs between the requests of a region to other regions, whatever its size: two a second, also while they fail
 REMOTE_PULL_PERIOD_US = 500 * MS
 
 
 class Revisions:
-    """One gateway's part. `others` counts the region's other gateways, `abroad` others' addresses."""
+    """Replica of one gateway. `others` counts its region's other gateways, `remote` addresses elsewhere."""
 
     def __init__(
         self, stored: Stored, validate: PatchValidator, rng: random.Random, others: int = 0, remote: int = 0
     ) -> None:
         self.head, self.document = stored.head, stored.document
         self.publisher = Publisher(stored.leads, stored.head.term, rng)
-        self.rejected, self.rejection_reason = (
-            RevisionId(),
-            "",
-        )  # what was told and did not check here, and why
+        self.rejected, self.rejection_reason = RevisionId(), ""  # last revision not valid here, and why
         self.forks = 0
         kinds = ("bad head", "bad question", "bad reply", "late reply", "bad digest", "refused")
         self.dropped = dict.fromkeys(kinds, 0)
@@ -85,20 +83,20 @@
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the head is known not to be old, or enough time has gone by since the start."""
+        """Return whether the head is known to be current, or the startup phase has timed out."""
         return self._startup.is_over
 
     # Events
 
     def begin(self, now: int) -> list[Command]:
-        """Start: the document begun with is in force."""
+        """Activate the document that the gateway starts with."""
         self._startup.begin(now)
         self._schedule_remote_pull(now)
         self._commands.append(ActiveRevision(self.head, self.document))
         return self._take_commands(now)
 
     def handle(self, now: int, event: Event) -> list[Command]:
-        """Take an event and give the commands that follow."""
+        """Handle an event and return the commands that follow."""
         if isinstance(event, RevisionAnnounced):
             self._revision_announced(now, event)
         elif isinstance(event, PullSucceeded):
@@ -112,31 +110,31 @@
                 self._timer_at = 0
                 self._timer_fired(now)
         elif len(self.publisher.orders) >= MAX_PENDING_ORDERS:
-            self._refuse_order(event.order, "too many orders wait")
+            self._refuse_order(event.order, "too many orders are waiting")
         else:
             self.publisher.orders.append(event)
         self._proceed(now)
         return self._take_commands(now)
 
     def _take_commands(self, now: int) -> list[Command]:
-        near, far, after = self._region_pull, self._remote_pull, self._senders.pull_at
-        again = after if self._senders and near is None and after > now else 0
-        start = 0 if self._startup.is_over else self._startup.deadline
+        region, remote, pull_at = self._region_pull, self._remote_pull, self._senders.pull_at
+        retry_at = pull_at if self._senders and region is None and pull_at > now else 0
+        startup_ends_at = 0 if self._startup.is_over else self._startup.deadline
         times = (
-            near.deadline if near else 0,
-            far.deadline if far else self._next_remote_pull_at,
-            start,
-            again,
+            region.deadline if region else 0,
+            remote.deadline if remote else self._next_remote_pull_at,
+            startup_ends_at,
+            retry_at,
         )
-        due = min((at for at in times if at), default=0)
-        if due and due != self._timer_at:
-            self._timer_at = due
-            self._commands.append(ScheduleTimer(due))
-        out, self._commands = self._commands, []
-        return out
+        next_at = min((at for at in times if at), default=0)
+        if next_at and next_at != self._timer_at:
+            self._timer_at = next_at
+            self._commands.append(ScheduleTimer(next_at))
+        commands, self._commands = self._commands, []
+        return commands
 
     def _timer_fired(self, now: int) -> None:
-        """Do what is due. A pull whose end nobody told ends here: one lost answer must not be the last."""
+        """Do what is due. Pulls past their deadline end here, so one lost reply does not block the next."""
         for pull in (self._region_pull, self._remote_pull):
             if pull is not None and now >= pull.deadline:
                 self._pull_failed(now, self._finish_pull(pull.call))
@@ -146,13 +144,13 @@
                 self._send_pull(now, self._random.randrange(self._remote))
 
     def _schedule_remote_pull(self, now: int) -> None:
-        """Draw when to ask another region: the mean gap grows with the region, so that all ask as often."""
+        """Schedule a pull from another region; the mean interval grows with the region's size."""
         if self._remote:
             mean = REMOTE_PULL_PERIOD_US * (self._others + 1)
             self._next_remote_pull_at = now + 1 + min(10 * mean, int(self._random.expovariate(1 / mean)))
 
     def _proceed(self, now: int) -> None:
-        """Take what waited: orders, then a pull; and see whether the start is over."""
+        """Process waiting orders, then start a pull, then check whether the startup phase is over."""
         while self.publisher.orders and self._pending_write is None:
             self._execute_order(now, self.publisher.orders.popleft())
         if (
@@ -161,13 +159,13 @@
             and self._region_pull is None
             and now >= self._senders.pull_at
         ):
-            best = self._senders.best(self.head.key, now)
-            if best is not None:
-                self._send_pull(now, best)
+            source = self._senders.best(self.head.key, now)
+            if source is not None:
+                self._send_pull(now, source)
         if not self._startup.is_over:
             self._startup.update(now, bool(self._region_pull or self._pending_write or self._senders))
 
-    # What others tell
+    # Announcements
 
     def _revision_announced(self, now: int, event: RevisionAnnounced) -> None:
         key, own = (event.term, event.number), self.head.key
@@ -182,7 +180,7 @@
         if key <= own:
             self._senders.forget(event.peer)
             if key == own and event.digest_prefix != self.head.digest_prefix:
-                about = f"{event.term}.{event.number} of {event.peer} has mark {event.digest_prefix:08x}"
+                about = f"{event.peer} has {event.term}.{event.number} with digest {event.digest_prefix:08x}"
                 self._record_fork(about, event.digest_prefix)
             return
         self.publisher.observe_term(event.term)
@@ -191,11 +189,11 @@
         self._apply_announced_deltas(now, event)
 
     def _apply_announced_deltas(self, now: int, event: RevisionAnnounced) -> None:
-        """Take revisions that came with a word, checked as those that were asked for.
+        """Apply deltas that came with an announcement, validated like requested ones.
 
-        Danger: one that does not check here comes again with every other word, and each check is one of the
-        whole document; after the first only a whole document is taken. What comes late, or after a gap, is
-        left to a question.
+        After an invalid one only a whole document is accepted: it would come again with every other message,
+        and each validation processes the whole document. Deltas that are late or follow a gap are ignored; a
+        request fetches what is missing.
         """
         own = self.head
         deltas = tuple(each for each in event.deltas if each.revision.key > own.key)
@@ -206,23 +204,23 @@
             self._apply_deltas(now, Pull(0, event.peer, own, now), RevisionReply(deltas[-1].revision, deltas))
 
     def _record_fork(self, about: str, digest_prefix: int) -> None:
-        """Book that one number names two documents; neither is put over the other.
+        """Record that one number stands for two documents, and replace neither of them.
 
-        Danger: whoever applied it would have two gateways change places for ever, and operators see nothing.
+        Otherwise two gateways could replace each other's document for ever, unnoticed by operators.
         """
         self._step_down(self.head.term)
         self.forks += self._log("fork", about, f"{self.head}, {digest_prefix:08x}")
 
     def _step_down(self, term: int) -> None:
-        """Be publisher no more where a later term is told, or a number of this one that is not from here."""
-        lost, keeping = self.publisher.step_down(term), self._pending_write
-        if keeping is not None and 0 < keeping.publisher_term <= term:
-            keeping.publisher_term, lost = 0, True
-        if lost:
-            self._log("publisher_no_more", f"term {term} is numbered elsewhere")
+        """Stop publishing if a later term is announced, or a revision of this term that is not from here."""
+        was_publisher, pending = self.publisher.step_down(term), self._pending_write
+        if pending is not None and 0 < pending.publisher_term <= term:
+            pending.publisher_term, was_publisher = 0, True
+        if was_publisher:
+            self._log("publisher_no_more", f"another gateway publishes in term {term}")
 
     def _log(self, what: str, about: str, once: str = "") -> bool:
-        """Say it, but once for each `once`; tell whether it was said now."""
+        """Log an event once for each `once`; return whether it was logged now."""
         if not self._logged.is_new(what, once or about):
             return False
         self._commands.append(LogEvent(what, about))
@@ -231,15 +229,15 @@
     # Pulls
 
     def _send_pull(self, now: int, source: PullSource, continued: Pull | None = None) -> None:
-        """Ask for what is after the head, or go on with a document that comes in pieces."""
+        """Request what follows the head, or the next page of a document."""
         self._pull_number += 1
         self.pull_counts["asked"] += 1
         in_region, head = isinstance(source, str), self.head
         pull = Pull(
             self._pull_number, source, head, now + (REGION_TIMEOUT_US if in_region else REMOTE_TIMEOUT_US)
         )
-        whole = self._needs_document and now >= self._senders.backoff_until
-        request = RevisionRequest(head.term, head.number, head.digest, whole=whole)
+        whole_document = self._needs_document and now >= self._senders.backoff_until
+        request = RevisionRequest(head.term, head.number, head.digest, whole=whole_document)
         if continued is not None:
             pull.document_of, pull.received = continued.document_of, continued.received
             request = RevisionRequest(
@@ -257,7 +255,7 @@
         self._commands.append(PullRevisions(pull.call, source, request, pull.deadline))
 
     def _finish_pull(self, call: int) -> Pull | None:
-        """Give the pull of this number, which is out no more; None for one that ended before."""
+        """Remove the pull of this number and return it; None if it has already ended."""
         for pull in (self._region_pull, self._remote_pull):
             if pull is not None and pull.call == call:
                 if pull is self._region_pull:
@@ -269,7 +267,7 @@
         return None
 
     def _pull_failed(self, now: int, pull: Pull | None) -> None:
-        """Go on without this source for now."""
+        """Back off from the source of a pull that failed."""
         if pull is not None:
             self.pull_counts["failed"] += 1
             if isinstance(pull.source, str):
@@ -284,16 +282,16 @@
             self._reject_reply(now, pull, "bad reply")
         elif reply.head.key <= self.head.key:
             if reply.head.key == self.head.key and reply.head.digest != self.head.digest:
-                self._record_fork(f"{reply.head} of {pull.source}", reply.head.digest_prefix)
+                self._record_fork(f"{pull.source} has revision {reply.head}", reply.head.digest_prefix)
             if isinstance(pull.source, str) and reply.head.key <= pull.since.key:
-                self._pull_failed(now, pull)  # it told a newer head and has none
+                self._pull_failed(now, pull)  # it announced a newer head and does not have it
         elif self._pending_write is not None or pull.since != self.head:
-            return  # another pull was quicker: what is missing now is asked for again
+            return  # another pull was faster: what is still missing is requested again
         else:
             self.publisher.observe_term(reply.head.term)
             self._step_down(reply.head.term)
             if reply.fork:
-                self._record_fork(f"{self.head} is another one at {pull.source}", 0)
+                self._record_fork(f"{pull.source} has another document for revision {self.head}", 0)
             if reply.deltas:
                 self._apply_deltas(now, pull, reply)
             elif reply.size and reply.page:
@@ -301,18 +299,18 @@
             else:
                 self._reject_reply(now, pull, "bad reply")
 
-    def _reject_reply(self, now: int, pull: Pull, why: str) -> None:
-        self.dropped[why] += 1
-        self._log("bad_reply", f"{why} of {pull.source}")
+    def _reject_reply(self, now: int, pull: Pull, fault: str) -> None:
+        self.dropped[fault] += 1
+        self._log("bad_reply", f"{fault} from {pull.source}")
         self._pull_failed(now, pull)
 
     def _apply_deltas(self, now: int, pull: Pull, reply: RevisionReply) -> None:
-        """Take revisions one after the other; each is checked here too, and must give what it says."""
-        head, document, good, fault, why = apply_deltas(self._validate, self.head, self.document, reply)
+        """Apply the deltas of a reply; each is validated here too and must give the digest it names."""
+        head, document, applied, fault, reason = apply_deltas(self._validate, self.head, self.document, reply)
         if fault == "refused":
-            self._reject_revision(now, reply.deltas[len(good)].revision, why)
-        if good:
-            self._write(head, document, good)
+            self._reject_revision(now, reply.deltas[len(applied)].revision, reason)
+        if applied:
+            self._write(head, document, applied)
             if isinstance(pull.source, int) and not fault and head != reply.head and self._pending_write:
                 self._pending_write.continue_at = pull.source
         if fault == "refused":
@@ -322,7 +320,7 @@
             self._reject_reply(now, pull, fault)
 
     def _add_page(self, now: int, pull: Pull, reply: RevisionReply) -> None:
-        """Take a piece of a whole document, and the document with its last piece."""
+        """Add a page of a document, and apply the document when it is complete."""
         fault = pull.add_page(reply)
         if fault:
             self._reject_reply(now, pull, fault)
@@ -330,25 +328,22 @@
         if len(pull.received) < reply.size:
             self._send_pull(now, pull.source, pull)
             return
-        after, why = validate_patch(self._validate, pull.received, EMPTY_PATCH)
-        if after != pull.received:
-            self._reject_revision(now, reply.head, why or "the document is not canonical")
+        validated, reason = validate_patch(self._validate, pull.received, EMPTY_PATCH)
+        if validated != pull.received:
+            self._reject_revision(now, reply.head, reason or "the document is not canonical")
             self._pull_failed(now, pull)
             return
         self._write(reply.head, pull.received, ())
 
-    def _reject_revision(self, now: int, head: RevisionId, why: str) -> None:
-        """Stay with the head in force; ask for a whole document, which may mend it, in a while."""
-        self.rejected, self.rejection_reason, self._needs_document = (
-            head,
-            why[:300] or "it does not check",
-            True,
-        )
+    def _reject_revision(self, now: int, head: RevisionId, reason: str) -> None:
+        """Keep the active revision, and request a whole document, which may be valid, after a while."""
+        self.rejected, self._needs_document = head, True
+        self.rejection_reason = reason[:300] or "the revision is not valid"
         self.dropped["refused"] += 1
         self._senders.revision_rejected(now)
         self._log("refused", f"{head}: {self.rejection_reason}")
 
-    # What becomes in force
+    # Activation
 
     def _write(
         self,
@@ -358,10 +353,10 @@
         publisher_term: int = 0,
         order: int | None = None,
     ) -> None:
-        """Write first, then it is in force and told.
+        """Write a revision to disk; it is activated and announced only after that.
 
-        Danger: a gateway that dies and comes back with an older revision, and a publisher that gives the
-        number of one which others have already to another change.
+        Otherwise a gateway could crash and return with an older revision, and a publisher could reuse a
+        number that others have already received for another change.
         """
         self._write_number += 1
         self._pending_write = PendingWrite(self._write_number, head, document, deltas, publisher_term, order)
@@ -373,14 +368,14 @@
             return
         self._pending_write = None
         if not event.is_durable and written.order is not None:
-            # it may be on disk: its number must never be given to another change
+            # it may be on disk, so its number must never be used for another change
             self.publisher.observe_term(written.head.term)
             self.publisher.term = 0
-            self._log("publisher_no_more", f"{written.head} could not be written")
-            self._refuse_order(written.order, "it could not be written; take over anew")
+            self._log("publisher_no_more", f"revision {written.head} could not be written")
+            self._refuse_order(written.order, "the revision could not be written; take over again")
             return
         if not event.is_durable:
-            self._log("not_kept", "a restart begins from an older revision until others are heard")
+            self._log("not_kept", "the file was not written; a restart begins with an older revision")
         self._activate(now, written)
 
     def _activate(self, now: int, written: PendingWrite) -> None:
@@ -403,25 +398,25 @@
     # Orders
 
     def _execute_order(self, now: int, event: Order) -> None:
-        """Give a change its number, where it is good: a bad one gets none and never leaves."""
+        """Assign a number to a valid change; an invalid one gets no number and is never sent."""
         is_behind = self._senders.best(self.head.key, now) is not None
         refusal = self.publisher.refusal(event, self.head.number, self._startup.refusal(self.head), is_behind)
         if refusal:
             self._refuse_order(event.order, refusal)
             return
         term, patch = self.publisher.term_and_patch(event)
-        after, why = validate_patch(self._validate, self.document, patch)
-        if after is None:
-            self._refuse_order(event.order, why)
+        patched, reason = validate_patch(self._validate, self.document, patch)
+        if patched is None:
+            self._refuse_order(event.order, reason)
             return
-        head = RevisionId(term, self.head.number + 1, digest_of(after))
-        self._write(head, after, (Delta(head, patch),), term, event.order)
+        head = RevisionId(term, self.head.number + 1, digest_of(patched))
+        self._write(head, patched, (Delta(head, patch),), term, event.order)
 
     def _refuse_order(self, order: int, reason: str) -> None:
         self._commands.append(OrderAnswered(order, False, reason, self.head))
 
     def answer(self, request: RevisionRequest) -> RevisionReply | None:
-        """Answer another gateway; None, counted, for what is no question."""
+        """Return the reply to another gateway's request; None, counted, if it is invalid."""
         reply = self.history.answer(self.head, self.document, request)
         if reply is None:
             self.dropped["bad question"] += 1
--- a/mintmast/decisions/hosts/registry.py
+++ b/mintmast/decisions/hosts/registry.py
@@ -1,7 +1,7 @@
-"""Eureka's registry without I/O: instances, deltas and their hash, what to ask next and when.
+"""Reader of a Eureka registry without I/O: instances, deltas and their hash, the next request and its time.
 
-After the Eureka REST operations: `apps` gives all, `apps/delta` what changed lately, and `apps__hashcode`
-counts the instances by status, so that a reader that applied a delta to a wrong base can tell.
+Follows the Eureka REST operations: `apps` returns all instances, `apps/delta` the recent changes, and
+`apps__hashcode` counts the instances by status, so that a reader can detect a delta applied to a wrong base.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from mintmast.interface import ListEntry, ServerState
 
 SECOND = 1_000_000
-# states that a status stands for. OUT_OF_SERVICE is what operators set to empty a host. STARTING takes no
-# work yet. Of UNKNOWN nothing is known: nothing new goes there, what plays plays on
+# OUT_OF_SERVICE is what operators set to empty a host. STARTING accepts no work yet. UNKNOWN gets no new
+# sessions, but sessions that play go on
 STATE_BY_STATUS = {
     "UP": ServerState.READY,
     "OUT_OF_SERVICE": ServerState.DRAINING,
@@ -22,18 +22,17 @@
     "STARTING": ServerState.GONE,
     "DOWN": ServerState.GONE,
 }
-# full reads in place of deltas, at least one in so many polls: a hash of counts cannot see two errors that
-# cancel out
+# polls per full read in place of a delta: a hash of counts misses two errors that cancel out
 POLLS_PER_FULL_READ = 30
-# part of the poll's time by which polls are spread, so that hundreds of gateways do not ask at one moment
+# jitter as a share of the poll interval, so that hundreds of gateways do not poll at the same moment
 POLL_JITTER = 0.2
-# fails of one address in a row before the next is asked
+# consecutive failures of one address before the next one is asked
 FAILURES_BEFORE_FAILOVER = 1
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One instance as a registry has it; `started` µs of the gateway's clock, 0 for not told."""
+    """One instance of a registry; `started` is in µs of the gateway's clock, 0 if not reported."""
 
     app: str
     id: str
@@ -47,20 +46,20 @@
 
 
 def compute_hashcode(instances: Iterable[Instance]) -> str:
-    """Give `apps__hashcode`: each status and its count, in the order of the statuses' names."""
+    """Return `apps__hashcode`: each status and its count, ordered by status name."""
     counts = Counter(instance.status for instance in instances)
     return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
 
 
 def build_list_entries(instances: Iterable[Instance], app: str) -> tuple[ListEntry, ...]:
-    """Give the list that the instances of `app` stand for; of two on one address the later started counts."""
-    best: dict[str, Instance] = {}
+    """Return the list entries of an app; of two instances on one address the later started one counts."""
+    by_address: dict[str, Instance] = {}
     for each in instances:
         if each.app.upper() != app.upper():
             continue
-        other = best.get(each.address)
-        if other is None or (each.started, each.status == "UP") > (other.started, other.status == "UP"):
-            best[each.address] = each
+        known = by_address.get(each.address)
+        if known is None or (each.started, each.status == "UP") > (known.started, known.status == "UP"):
+            by_address[each.address] = each
     return tuple(
         ListEntry(
             address.encode(),
@@ -71,61 +70,60 @@
             each.kind,
             each.weight,
         )
-        for address, each in sorted(best.items())
+        for address, each in sorted(by_address.items())
     )
 
 
 @dataclass(slots=True)
 class RegistryReader:
-    """Decides what to ask, and what an answer is worth. `addresses` are tried in turn from the first.
+    """Chooses requests and applies replies. `addresses` are tried in turn from the first.
 
-    `every` is the time between polls in µs. Danger: a registry's replica that lags, or a delta on a wrong
-    base, would take servers back that are gone. A delta counts only if the hash agrees after it, else
-    everything is read.
+    `poll_interval` is in µs. A lagging replica, or a delta on a wrong base, would bring back servers that are
+    gone, so a delta counts only if the hash matches afterwards; otherwise everything is read again.
     """
 
     addresses: tuple[str, ...]
     poll_interval: int
     instances: dict[tuple[str, str], Instance] = field(default_factory=dict)
-    address_index: int = 0  # which address
-    has_base: bool = False  # something was read in full, so that a delta has a base
+    address_index: int = 0
+    has_base: bool = False  # a full read succeeded, so that a delta has a base
     polls: int = 0
     failures: int = 0
 
     def next_request(self) -> tuple[str, bool]:
-        """Give the address to ask and whether a delta will do."""
+        """Return the address to ask and whether to request a delta."""
         delta = self.has_base and self.polls % POLLS_PER_FULL_READ != 0
         self.polls += 1
         return self.addresses[self.address_index % len(self.addresses)], delta
 
     def next_poll_at(self, now: int, draw: float) -> int:
-        """Give when to ask next; `draw` from 0 to 1 spreads the polls, never later than `every`."""
+        """Return when to poll next (µs); `draw`, from 0 to 1, shortens the interval by the jitter."""
         return now + int(self.poll_interval * (1 - POLL_JITTER * draw))
 
     def apply_full(self, instances: Iterable[Instance]) -> bool:
-        """Take a full read; true where anything changed."""
-        new = {(each.app, each.id): each for each in instances}
-        changed, self.instances = new != self.instances or not self.has_base, new
+        """Apply a full read; return whether anything changed."""
+        updated = {(each.app, each.id): each for each in instances}
+        changed, self.instances = updated != self.instances or not self.has_base, updated
         self.has_base, self.failures = True, 0
         return changed
 
-    def apply_delta(self, changes: Iterable[tuple[str, Instance]], told: str) -> bool | None:
-        """Take changes as (action, instance) and the hash told; None where all must be read anew."""
-        new = dict(self.instances)
+    def apply_delta(self, changes: Iterable[tuple[str, Instance]], expected_hashcode: str) -> bool | None:
+        """Apply changes (action, instance); return whether any was made, None if a full read is needed."""
+        updated = dict(self.instances)
         for action, each in changes:
             if action == "DELETED":
-                new.pop((each.app, each.id), None)
+                updated.pop((each.app, each.id), None)
             else:
-                new[each.app, each.id] = each
+                updated[each.app, each.id] = each
         self.failures = 0
-        if told != compute_hashcode(new.values()):
+        if expected_hashcode != compute_hashcode(updated.values()):
             self.has_base = False
             return None
-        changed, self.instances = new != self.instances, new
+        changed, self.instances = updated != self.instances, updated
         return changed
 
     def handle_failure(self) -> None:
-        """Take a try in vain: the next address is asked, in full, as replicas differ."""
+        """Record a failed poll; the next address is read in full, because replicas differ."""
         self.failures += 1
         if self.failures % FAILURES_BEFORE_FAILOVER == 0 and len(self.addresses) > 1:
             self.address_index += 1
--- a/mintmast/decisions/sessions/active_moves.py
+++ b/mintmast/decisions/sessions/active_moves.py
@@ -1,7 +1,7 @@
-"""Moves under way: the polls that wait for them, and what each step of the table does.
+"""Active moves: the polls that wait for them, and the execution of the state machine's actions.
 
-The table and the planner stand in `moves.py`. A move owns what is known of it: which session goes where, how
-long the player's buffer lasts, which polls wait. Sessions do not know that they move.
+`moves.py` has the state machine and the planner. A move owns its state: the old and the new session, how long
+the player's buffer lasts, and the waiting polls. Sessions hold no state of their moves.
 """
 
 from __future__ import annotations
@@ -27,38 +27,36 @@
 
 @dataclass(slots=True, eq=False)
 class Move:
-    """A move under way."""
+    """One active move."""
 
     old: Session
-    buffer_until: int  # until when the player's buffer lasts, by its own word (µs)
+    buffer_until: int  # when the player's buffer runs out, as reported by the player (µs)
     began_at: int
     stage: Stage = Stage.PLAYS
     polls: set[int] = field(default_factory=set)
-    short_lease_call: int = 0  # number of the call that makes the lease short
+    short_lease_call: int = 0  # call number of the renewal that shortens the lease
     new_number: int = 0
-    held_place: tuple[bytes, int] | None = (
-        None  # where the module wants the new session, until it is sent there
-    )
+    held_place: tuple[bytes, int] | None = None  # host and timeout of the new session until it is sent
 
 
 class MoveCallbacks(Protocol):
-    """What moves ask of the book."""
+    """The book's operations that moves call."""
 
     def dispatch(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def request_placement(self, now: int, session: Session) -> None:
-        """Ask the module where the session plays."""
+        """Request a host for the session from the module."""
 
     def close(self, now: int, session: Session) -> None:
-        """End a session that is not out, without an answer."""
+        """Close a session that has no attempt under way, without an answer."""
 
     def send_moved(self, now: int, session: Session, server: bytes, timeout_at: int, moved_from: int) -> None:
-        """Send a moved session to the host that was held for it."""
+        """Send a moved session's set-up to the host where a place was held for it."""
 
 
 class ActiveMoves:
-    """The moves of one gateway."""
+    """The active moves of one gateway."""
 
     def __init__(
         self,
@@ -75,57 +73,56 @@
         self._retry_budget = retry_budget
         self.planner = MovePlanner(settings, retry_budget)
         self.counts = {"moved": 0, "lost": 0, "stayed": 0, "over": 0}
-        self.stay_reasons: dict[
-            int, str
-        ] = {}  # of sessions on hosts to be left that stay: why, at their last poll
-        self._by_old: dict[int, Move] = {}  # by the session that moves
-        self._by_new: dict[int, Move] = {}  # by the session that it becomes
-        self._successors: dict[int, int] = {}  # moved session: the one that it became
+        self.stay_reasons: dict[int, str] = {}  # why a session stays on a draining host, as of its last poll
+        self._by_old: dict[int, Move] = {}  # by the old session
+        self._by_new: dict[int, Move] = {}  # by the new session
+        self._successors: dict[int, int] = {}  # old session: new session
         self._polls: dict[int, Move] = {}
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Go on with these settings; moves under way end as they began."""
+        """Apply new settings; active moves keep the limits that they started with."""
         self._settings = self.planner.settings = settings
 
-    # What others ask
+    # Queries
 
     def is_moving(self, session: int) -> bool:
-        """Tell whether a session is on the move off its host."""
+        """Return whether a session is being moved off its host."""
         return session in self._by_old
 
     def is_move_target(self, session: int) -> bool:
-        """Tell whether a session stands for one that was moved."""
+        """Return whether a session replaces one that was moved."""
         return session in self._by_new
 
     def stage_of(self, session: int) -> Stage | None:
-        """Give where a session's move off its host stands."""
+        """Return the stage of a session's move off its host, None if it is not moving."""
         move = self._by_old.get(session)
         return None if move is None else move.stage
 
     def hold_place(self, session: int, server: bytes, timeout_at: int) -> bool:
-        """Keep the place that the module gave to a moved session until the old one is surely over.
+        """Hold the place that the module chose for a moved session until the old one has certainly ended.
 
-        False where the session may be sent at once. Raises AssertionError where the old one may still play.
+        Returns False if the session may be sent at once. Raises AssertionError if the old session may still
+        play.
         """
         move = self._by_new.get(session)
         if move is None or move.stage is Stage.SETTING_UP:
             return False
         if move.stage not in (Stage.PLACING, Stage.REPLACING):
-            raise AssertionError("a moved session sent while the old one may play")
+            raise AssertionError("set-up of a moved session requested while the old session may still play")
         move.held_place = server, timeout_at
         return True
 
     def moved_from(self, session: int) -> int:
-        """Give the session that this one takes the place of, 0 for none."""
+        """Return the session that this one replaces, 0 for none."""
         move = self._by_new.get(session)
         return 0 if move is None else move.old.number
 
-    # What happens
+    # Events
 
     def handle_poll(self, now: int, event: Poll, must_leave: Callable[[bytes], bool]) -> None:
-        """Answer a player's poll: at once, or when the move that it begins or joins is through.
+        """Answer a player's poll at once, or when the move that it starts or joins has ended.
 
-        `leave` tells whether a host is to be left.
+        `must_leave` returns whether sessions are to leave a host.
         """
         number = event.session
         while number in self._successors:
@@ -156,31 +153,31 @@
         self._apply_signal(now, move, Signal.GRANTED)
 
     def cancel_poll(self, poll_id: int) -> None:
-        """Answer a poll no more."""
+        """Cancel a waiting poll without an answer."""
         move = self._polls.pop(poll_id, None)
         if move is not None:
             move.polls.discard(poll_id)
 
     def expire_poll(self, poll_id: int) -> None:
-        """Answer a poll that waits no longer: play on."""
+        """Answer a poll that timed out with the session's present host."""
         move = self._polls.get(poll_id)
         if move is not None:
             self._answer_poll(poll_id, move.old)
 
     def signal(self, now: int, session: int, signal: Signal) -> None:
-        """Tell the move of a session off its host, if there is one, what happened."""
+        """Apply a signal to the move of a session off its host, if there is one."""
         move = self._by_old.get(session)
         if move is not None:
             self._apply_signal(now, move, signal)
 
     def handle_playing(self, now: int, session: int) -> None:
-        """Take note that a moved session plays at its new host."""
+        """Complete the move of a session that now plays at its new host."""
         move = self._by_new.get(session)
         if move is not None:
             self._apply_signal(now, move, Signal.UP)
 
     def handle_renewal(self, now: int, session: Session, event: RenewalEnded) -> None:
-        """Take a renewal's answer: it may be the call that made the lease short."""
+        """Process a renewal's result, which may be that of the call that shortens the lease."""
         move = self._by_old.get(session.number)
         if move is None or move.short_lease_call != event.call_number or not event.answered:
             return
@@ -192,14 +189,14 @@
             self._apply_signal(now, move, Signal.SHORT if is_short else Signal.NOT_SHORT)
 
     def handle_closed(self, now: int, session: Session) -> None:
-        """Take note that a session is over, before its move or the module hear more of it."""
+        """Process the closing of a session before its move or the module receive further events of it."""
         self.stay_reasons.pop(session.number, None)
         move = self._by_new.get(session.number)
         if move is not None and move.new_number == session.number and move.stage is Stage.SETTING_UP:
             self._apply_signal(now, move, Signal.DOWN)
 
     def handle_session_over(self, now: int, session: int, signal: Signal) -> None:
-        """Take note that a playing session is over; nobody asks for what it once was any more."""
+        """Process the end of a playing session and forget the sessions that it replaced."""
         move = self._by_old.get(session)
         if move is not None:
             self._apply_signal(now, move, signal)
@@ -210,10 +207,10 @@
             self._successors.pop(arrival.old.number, None)
             arrival = self._by_new.pop(arrival.old.number, None)
 
-    # Steps
+    # Transitions
 
     def _hold_poll(self, now: int, move: Move, event: Poll) -> None:
-        """Hold a poll until the move is through, but not beyond what the player waits."""
+        """Hold a poll until the move has ended or the player's timeout expires."""
         move.polls.add(event.poll_id)
         self._polls[event.poll_id] = move
         self._emit(ScheduleTimer(now + event.timeout, ("poll", event.poll_id)))
@@ -221,11 +218,11 @@
     def _answer_poll(self, poll_id: int, session: Session, moved: bool = False) -> None:
         self.cancel_poll(poll_id)
         request, server = session.request, session.server or b""
-        place = session.number, server, session.rung, session.epoch
-        self._emit(AnswerPoll(poll_id, *place, request.title, request.service, request.best_rung, moved))
+        placement = session.number, server, session.rung, session.epoch
+        self._emit(AnswerPoll(poll_id, *placement, request.title, request.service, request.best_rung, moved))
 
     def _apply_signal(self, now: int, move: Move, signal: Signal) -> None:
-        """Follow the table; what an act causes at once is followed too."""
+        """Apply a signal and execute the transition's actions, then any signal that an action causes."""
         stage, actions = moves.transition_for(move.stage, signal)
         if (stage, actions) == (move.stage, ()):
             return
@@ -310,17 +307,16 @@
         move.polls.clear()
 
     def _restore_lease(self, now: int, session: Session) -> None:
-        """Give a session that stays its usual lease again."""
+        """Restore the usual lease of a session that stays at its host."""
         if session.server is not None and session.number in self._sessions.playing_at(session.server):
             self._leases.restore(now, session.server, session)
 
     def _request_place(self, now: int, move: Move) -> Signal:
-        """Ask the module for a place; nothing is sent yet."""
+        """Request a place from the module; the set-up is sent later."""
         if move.stage is Stage.REPLACING:
             self._close_old(now, move)
-        elif not self._retry_budget.allows(
-            now
-        ):  # spent since the move began: nothing is ended yet, so it stays
+        elif not self._retry_budget.allows(now):
+            # used up since the move began; nothing has been terminated yet
             return Signal.NO_ROOM
         request = move.old.request
         remaining = max(SECOND, move.old.first_played_at + request.length - now) if request.length else 0
@@ -331,13 +327,13 @@
         self._by_new[new.number] = move
         self._callbacks.request_placement(now, new)
         if move.held_place is not None:
-            self._retry_budget.record_attempt(now)  # with the module, which counts it from the same moment
+            self._retry_budget.record_attempt(now)  # now, because the module counts it from the same moment
         else:
             self._by_new.pop(new.number, None)
         return Signal.PLACED if move.held_place is not None else Signal.NO_ROOM
 
     def _close_old(self, now: int, move: Move) -> None:
-        """Take the old session off the module's and the book's account: it is surely over."""
+        """Close the old session, which has certainly ended, in the book and the module."""
         old = move.old
         self._successors[old.number] = move.new_number
         if self._sessions.get(old.number) is not None:
--- a/mintmast/decisions/sessions/orders.py
+++ b/mintmast/decisions/sessions/orders.py
@@ -1,7 +1,7 @@
-"""Operators' words that outlive a process: hosts to be drained, gateways that are gone for good.
+"""Operators' orders that persist over restarts: hosts to drain and gateways that were permanently removed.
 
-Danger: an order that the next life has forgotten is broken by it, hours after the operator was told that it
-is taken. So he hears of it when it is on disk; it holds here from the first moment all the same.
+If a restarted gateway forgot an order, it would violate it hours after the operator's request had succeeded.
+An order is therefore acknowledged only when it is on disk, although this process obeys it at once.
 """
 
 from __future__ import annotations
@@ -16,36 +16,37 @@
 
 
 class OperatorOrders:
-    """The orders of one gateway; `emit` takes commands."""
+    """The operators' orders of one gateway; `emit` receives commands."""
 
-    def __init__(self, fleet: Fleet, keeper: RecordWriter, emit: Callable[[object], None]) -> None:
-        self._fleet, self._keeper, self._emit = fleet, keeper, emit
-        self._known_peers: dict[
-            str, tuple[int, bool]
-        ] = {}  # of other gateways: start, and whether it is forgotten
+    def __init__(self, fleet: Fleet, record_writer: RecordWriter, emit: Callable[[object], None]) -> None:
+        self._fleet, self._record_writer, self._emit = fleet, record_writer, emit
+        # other gateways: (generation, whether an operator has removed it)
+        self._known_peers: dict[str, tuple[int, bool]] = {}
 
     def restore(self, now: int, recovered: RecoveredState) -> None:
-        """Go on with what was ordered in earlier lives."""
+        """Restore the orders recorded by earlier generations."""
         self._known_peers = dict(recovered.members)
         for server, until in recovered.drains.items():
             within = None if until is None else max(0, until - recovered.runtime)
             self._fleet.handle_drain_order(now, DrainOrdered(server.encode(), True, within))
 
     def handle_drain_order(self, now: int, event: DrainOrdered) -> None:
-        """Take an order to drain a host, or its end."""
+        """Apply and record an order to drain a host, or its revocation."""
         self._fleet.handle_drain_order(now, event)
         server = event.server
         drain_deadline = self._fleet.drains.deadline_of(server)
-        until = None if drain_deadline is None else drain_deadline + self._keeper.runtime(now) - now
+        until = None if drain_deadline is None else drain_deadline + self._record_writer.runtime(now) - now
 
-        def kept(at: int, good: bool) -> None:
-            self._emit(DrainRecorded(server, good))
+        def report_recorded(at: int, is_durable: bool) -> None:
+            self._emit(DrainRecorded(server, is_durable))
 
-        self._keeper.save(now, RecordKind.DRAIN, server.decode(), until, kept, delete=not event.drain)
+        self._record_writer.save(
+            now, RecordKind.DRAIN, server.decode(), until, report_recorded, delete=not event.drain
+        )
 
     def handle_peer_state(self, now: int, event: PeerStatusChanged) -> None:
-        """Keep the last start that is known of a gateway, and that an operator says it is gone."""
+        """Record the last known generation of a gateway and whether an operator has removed it."""
         peer_state = event.generation, event.liveness is Liveness.ORDER
         if event.generation and peer_state != self._known_peers.get(event.peer):
             self._known_peers[event.peer] = peer_state
-            self._keeper.save(now, RecordKind.MEMBER, event.peer, peer_state)
+            self._record_writer.save(now, RecordKind.MEMBER, event.peer, peer_state)
--- a/mintmast/decisions/sessions/recovery.py
+++ b/mintmast/decisions/sessions/recovery.py
@@ -1,13 +1,12 @@
-"""Recovery: what a start does with the paid sessions that its earlier lives had set up.
+"""Crash recovery: what a new generation does with the sessions that earlier generations had set up.
 
-A record says that a set-up may have left. What became of it only its host can tell, so the host is asked,
-and until it has answered the session is neither sent again nor refused, holds its seat, and whoever comes
-with its key waits. `outcomes.FATES` is the whole of what may be concluded, each row with its reason. A
-question also takes over: a session that plays is held by this life from then on, and a set-up that is still
-under way can not run any more.
+A record says that a set-up may have been sent. Only its host knows what became of it, so the host is queried.
+Until it replies the session is neither resent nor refused, keeps its seat, and requests with its key wait.
+`outcomes.RECOVERY_TABLE` lists every possible conclusion with its reason. The query also takes over: a
+session that plays belongs to this generation from then on, and a set-up still under way can no longer run.
 
-A host that does not answer is asked again until the session's lease is surely over: then nothing plays, its
-seat is free, and its key stays spent, as it may have run.
+A host that does not reply is queried again until the session's lease has certainly expired. Then nothing
+plays, the seat is free, and the key stays used, as the session may have run.
 """
 
 from __future__ import annotations
@@ -37,19 +36,19 @@
 from mintmast.interface import NoteKind, Outcome
 
 SECOND = 1_000_000
-# µs after which a host that did not answer is asked again, and for which one question may take
+# µs after which a host that did not reply is queried again, and the timeout of one query
 RETRY_INTERVAL_US = SECOND // 2
-# sessions in one question: some 20 kB, as in a renewal
+# sessions in one query: about 20 kB, as in a renewal
 MAX_SESSIONS_PER_QUERY = 200
-# hosts asked at once: a start with a long list must not open all its connections in one moment
+# hosts queried concurrently: a start with a long list must not open all its connections at the same time
 MAX_HOSTS_QUERIED = 16
 
 
 class RecoveryCallbacks(Protocol):
-    """What the recovery asks of the book."""
+    """The book's operations that the recovery calls."""
 
     def dispatch(self, now: int, event: api.Event) -> None:
-        """Hand an event to the module and carry out its actions."""
+        """Pass an event to the module and execute its actions."""
 
     def close(
         self,
@@ -59,17 +58,17 @@
         retry_after: int = 0,
         reason: str = "",
     ) -> None:
-        """End a session, and answer those who wait."""
+        """Close a session and answer its pending requests."""
 
     def end_unwatched(self, now: int, session: Session) -> None:
-        """End a session that plays and nobody watches."""
+        """Terminate a session that plays but has no viewer."""
 
     def resume_session(self, now: int, session: Session) -> None:
-        """Let a session that plays go on, and answer those who wait."""
+        """Resume a session that plays and answer its pending requests."""
 
 
 class Recovery:
-    """One start's recovery. `emit` takes commands; `done` tells whether all is settled."""
+    """The recovery of one start; `emit` receives commands."""
 
     def __init__(
         self,
@@ -86,34 +85,34 @@
         self._callbacks, self._settings, self._catalogue = callbacks, settings, catalogue
         self._sessions, self._keys, self._leases = sessions, keys, leases
         self._claims, self._intents, self._emit = claims, intents, emit
-        self._unsettled: dict[int, tuple[str, Intent]] = {}  # not settled: digest and record
-        self._module_informed = False  # the module knows of them
-        self._waiting_hosts: deque[bytes] = deque()  # hosts still to be asked
-        self._pending_calls: dict[bytes, int] = {}  # hosts that are being asked: number of the call
+        self._unsettled: dict[int, tuple[str, Intent]] = {}  # unsettled session: digest and record
+        self._module_informed = False  # whether the module knows the unsettled sessions
+        self._waiting_hosts: deque[bytes] = deque()  # hosts still to be queried
+        self._pending_calls: dict[bytes, int] = {}  # host being queried: call number
         self.counts = dict.fromkeys((*(each.value for each in RecoveryOutcome), "not offered"), 0)
 
     def apply_settings(self, settings: api.Settings, catalogue: Catalogue) -> None:
-        """Go on with these settings."""
+        """Apply new settings."""
         self._settings, self._catalogue = settings, catalogue
 
     def is_unsettled(self, session: int) -> bool:
-        """Tell whether a session of an earlier life is not settled yet."""
+        """Return whether a session of an earlier generation is not settled yet."""
         return session in self._unsettled
 
     @property
     def unsettled_count(self) -> int:
-        """Sessions that are not settled yet."""
+        """Number of sessions that are not settled yet."""
         return len(self._unsettled)
 
     def restore(self, now: int, recovered: RecoveredState) -> None:
-        """Take the records of earlier lives; nothing is asked before the hosts are known."""
-        for digest, (intent, keep) in sorted(recovered.intents.items(), key=lambda each: each[1][1]):
-            self._claims.restore_owned(now, digest, intent.owner, intent.number, keep)
+        """Restore the records of earlier generations; no host is queried before the hosts are known."""
+        for digest, (intent, retention) in sorted(recovered.intents.items(), key=lambda each: each[1][1]):
+            self._claims.restore_owned(now, digest, intent.owner, intent.number, retention)
             numbers = self._catalogue.numbers_of(intent)
             if intent.over or numbers is None:
                 self.counts["not offered"] += not intent.over
                 if not intent.free:
-                    self._keys.mark_used(now, intent.key, keep)
+                    self._keys.mark_used(now, intent.key, retention)
                 self._intents.restore(now, 0, digest, intent)
             else:
                 self._restore_session(now, digest, intent, numbers)
@@ -128,17 +127,17 @@
             )
 
     def _restore_session(self, now: int, digest: str, intent: Intent, numbers: tuple[int, int, int]) -> None:
-        """Open a session again as one whose attempt is out."""
+        """Reopen a session as one with an attempt under way."""
         service, tenant, title = numbers
         deadline = now + 2 * self._leases.length
-        where = intent.home, intent.copies, intent.best_rung
-        request = ViewerRequest(0, service, tenant, title, *where, 0, intent.key, intent.length)
+        placement = intent.home, intent.copies, intent.best_rung
+        request = ViewerRequest(0, service, tenant, title, *placement, 0, intent.key, intent.length)
         session = self._sessions.open(request, deadline, self._settings.classes[service].effect)
         session.apply_signal(Signal.SENT)
         session.server, session.epoch, session.rung = intent.server.encode(), intent.epoch, intent.rung
         session.sent_at, session.attempts = now, 1
         session.lease = Lease()
-        # what the life before gave last is over by then, as if it had been sent at this start
+        # bounds the last lease of the earlier generation as if it had been granted at this start
         session.lease.record_call(0, now, self._leases.length, None)
         if not session.is_free:
             self._keys.hold(intent.key, session.number)
@@ -147,10 +146,10 @@
         self._emit(SessionNamed(session.number, intent.session))
 
     def handle_hosts_known(self, now: int) -> None:
-        """Hand the sessions to the module, once it knows of hosts, and begin to ask.
+        """Pass the unsettled sessions to the module once it knows hosts, and start to query them.
 
-        Danger: before it knows a host it would charge nothing for them. Before it knows one it sends nothing
-        either, so their seats count from its first decision on.
+        Before the module knows a host it would reserve no capacity for these sessions. It also places no
+        session before that, so their seats count from its first decision on.
         """
         if self._module_informed:
             return
@@ -158,7 +157,7 @@
         for number in self._unsettled:
             session = self._sessions.by_number[number]
             request = session.request
-            about = (
+            session_details = (
                 request.service,
                 request.tenant,
                 request.title,
@@ -166,32 +165,32 @@
                 session.server or b"",
                 request.length,
             )
-            self._callbacks.dispatch(now, api.SessionOpen(number, *about, planned=False))
+            self._callbacks.dispatch(now, api.SessionOpen(number, *session_details, planned=False))
         self.continue_queries(now)
 
     def continue_queries(self, now: int) -> None:
-        """Ask hosts, as many at once as may be."""
+        """Query waiting hosts up to the concurrency limit."""
         while self._waiting_hosts and len(self._pending_calls) < MAX_HOSTS_QUERIED:
             self._query_host(now, self._waiting_hosts.popleft())
 
     def _query_host(self, now: int, server: bytes) -> None:
-        here = self._unsettled_at(server)[:MAX_SESSIONS_PER_QUERY]
-        if not here:
+        sessions = self._unsettled_at(server)[:MAX_SESSIONS_PER_QUERY]
+        if not sessions:
             return
-        number, clock = self._leases.begin_reconciliation(now, server, here)
+        number, clock = self._leases.begin_reconciliation(now, server, sessions)
         self._pending_calls[server] = number
-        queried = tuple((each.number, each.epoch) for each in here)
+        queried = tuple((each.number, each.epoch) for each in sessions)
         self._emit(
             SendReconciliation(server, queried, now + RETRY_INTERVAL_US, number, clock, self._leases.length)
         )
 
     def _unsettled_at(self, server: bytes) -> list[Session]:
-        """Give what is not settled at a host."""
-        found = (self._sessions.by_number[number] for number in self._unsettled)
-        return [each for each in found if each.server == server]
+        """Return the unsettled sessions at a host."""
+        unsettled = (self._sessions.by_number[number] for number in self._unsettled)
+        return [each for each in unsettled if each.server == server]
 
     def handle_reconciliation_ended(self, now: int, event: ReconciliationEnded) -> None:
-        """Take a host's answer, or that there was none."""
+        """Process the end of a query, with or without a reply."""
         if self._pending_calls.get(event.server) != event.call_number:
             return
         del self._pending_calls[event.server]
@@ -207,7 +206,7 @@
         self.continue_queries(now)
 
     def retry_host(self, now: int, server: bytes) -> None:
-        """Ask a host once more."""
+        """Queue another query of a host."""
         if server not in self._pending_calls and server not in self._waiting_hosts:
             self._waiting_hosts.append(server)
         self.continue_queries(now)
@@ -229,7 +228,8 @@
             self._emit(LogEvent("all_settled", tuple(self.counts.items())))
         server = session.server or b""
         if outcome is RecoveryOutcome.PLAYS and session.is_free and self._keys.holder(intent.key):
-            self._callbacks.end_unwatched(now, session)  # its viewer came again and has another one by now
+            # the viewer has retried and already has another session
+            self._callbacks.end_unwatched(now, session)
             return
         if outcome is RecoveryOutcome.PLAYS:
             self._keys.hold(intent.key, number)
--- a/mintmast/decisions/sessions/requests.py
+++ b/mintmast/decisions/sessions/requests.py
@@ -1,4 +1,4 @@
-"""Who waits for an answer: each ask gets exactly one, and those of one key share a session."""
+"""Viewers' pending requests: each one gets exactly one answer, and requests of one key share a session."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class PendingRequests:
-    """The asks of one gateway that have no answer yet."""
+    """The unanswered requests of one gateway."""
 
     def __init__(self, emit: Callable[[object], None]) -> None:
         self._emit = emit
         self._session_by_request: dict[int, Session] = {}
 
     def add(self, now: int, session: Session, request: ViewerRequest) -> None:
-        """Let an ask wait for a session; one that joins has a deadline of its own."""
+        """Add a request to a session; a request that joins an existing session has its own deadline."""
         deadline = now + request.timeout
         session.waiting_requests[request.request_id] = deadline
         self._session_by_request[request.request_id] = session
@@ -24,7 +24,7 @@
             self._emit(ScheduleTimer(deadline, ("ask", request.request_id)))
 
     def cancel(self, request_id: int) -> Session | None:
-        """Let an ask wait no more, without an answer; give its session where nobody waits for it now."""
+        """Remove a request without an answer; return its session if no request waits for it any more."""
         session = self._session_by_request.pop(request_id, None)
         if session is None:
             return None
@@ -32,7 +32,7 @@
         return None if session.waiting_requests else session
 
     def expire(self, request_id: int) -> Session | None:
-        """Answer an ask whose time is up; give its session where nobody waits for it now."""
+        """Answer a request that timed out; return its session if no request waits for it any more."""
         session = self._session_by_request.get(request_id)
         if session is None:
             return None
@@ -48,7 +48,7 @@
         reason: str = "",
         try_elsewhere: bool = False,
     ) -> None:
-        """Answer an ask; `advice` in µs."""
+        """Answer a request; `retry_after` in µs."""
         self._session_by_request.pop(request_id, None)
         session.waiting_requests.pop(request_id, None)
         server = session.server or b""
@@ -63,6 +63,6 @@
         reason: str = "",
         try_elsewhere: bool = False,
     ) -> None:
-        """Answer all who wait for a session."""
+        """Answer all requests that wait for a session."""
         for request_id in list(session.waiting_requests):
             self.answer(request_id, session, verdict, retry_after, reason, try_elsewhere)
--- a/mintmast/peers/__init__.py
+++ b/mintmast/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways of a region say to each other."""
+"""Transport between the gateways of a region."""
 
 from mintmast.peers.membership_transport import MembershipTransport, parse_address
 from mintmast.peers.transport import PeerTransport
