--- a/mintmast/decide.py
+++ b/mintmast/decide.py
@@ -49,9 +49,8 @@
 EJECTION_US, MAX_EJECTION_US, FULL_BACKOFF_US = 2 * SECOND, 16 * SECOND, SECOND
 STEP_DOWN_BELOW = 0.96  # delivered share below which rungs are stepped down; a smaller shortfall costs less
 STEP_DOWN_TARGET = 0.8  # share of delivered rate that rungs may use: rates vary, set-ups are under way
-STEP_DOWN_DELAY_US = (
-    2 * SECOND
-)  # µs, added to the age of reports, until the same server is stepped down again
+# µs, added to the age of reports, until the same server is stepped down again
+STEP_DOWN_DELAY_US = 2 * SECOND
 # µs until a reported use has decayed to the fleet's average: about the length of a session
 NOTE_LIFETIME_US = 30 * SECOND
 # µs after a cut until the rung is reviewed, so that reports show its effect
--- a/mintmast/decisions/messages.py
+++ b/mintmast/decisions/messages.py
@@ -373,7 +373,7 @@
 
 
 class ScheduleTimer(msgspec.Struct, frozen=True, gc=False):
-    """Deliver `TimerExpired(token)` at `at` (µs)."""
+    """Deliver `TimerFired(token)` at `at` (µs)."""
 
     at: int
     token: tuple
