--- a/mintmast/lab/links.py
+++ b/mintmast/lab/links.py
@@ -1,9 +1,9 @@
 """Links between processes on loopback: one for every ordered pair, with what befalls it.
 
 A gateway reaches each other one at an address of the link's own, over TCP and UDP alike; the link passes on
-to the real address what its `PathConditions` lets through. The bytes that come back on a connection go the other pair's
-way. A link takes no connections while nobody listens behind it, so that a dead process is told from a cut
-path as on a real network.
+to the real address what its `PathConditions` lets through. The bytes that come back on a connection go
+the other pair's way. A link takes no connections while nobody listens behind it, so that a
+dead process is told from a cut path as on a real network.
 """
 
 from __future__ import annotations
--- a/mintmast/lab/scale/configuration.py
+++ b/mintmast/lab/scale/configuration.py
@@ -1,8 +1,8 @@
 """Configuration in force over a fleet: until when the last gateway has a change, and what that costs each.
 
 `Light` has the real `Revisions` and `RevisionGossip` of every gateway and, in place of `Members`, only its
-words' rate and whom they go to: two probes a second, each answered, through a region in an order drawn anew. Left
-out are losses and suspicion, and with them the faster pace. `rows` plays `Spread`, which has all of
+words' rate and whom they go to: two probes a second, each answered, through a region in an order drawn anew.
+Left out are losses and suspicion, and with them the faster pace. `rows` plays `Spread`, which has all of
 `Members`, beside it at 50. Bytes are those that a word takes more than one that tells no head, whole words
 where there would be none, and questions. Five minutes of a cut are not played but jumped over: nothing
 happens in them but questions that fail.
