--- a/mintmast/decisions/gateways/member_status.py
+++ b/mintmast/decisions/gateways/member_status.py
@@ -79,9 +79,8 @@
     may_own_keys: bool  # keys that it owned may be in use, so nobody else gets them
     may_spend_budget: bool  # it counts when budgets and the slow-start rate are shared out
     counts_as_capacity: bool  # it counts among those that carry load
-    process_ended: (
-        bool  # its process has ended: what was only in its memory is lost, and it will act on nothing
-    )
+    # its process has ended: what was only in its memory is lost, and it will act on nothing
+    process_ended: bool
     reason: str
 
 
